--- a/entry/src/main/kotlin/io/carawaytrack/entry/AgentLinks.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/AgentLinks.kt
@@ -1,6 +1,6 @@
 /*
- * The links from this entry to the agents, one for each, opened when first needed. Many attempts share a link; each has
- * its own credit, so that the entry never holds more of an answer than its window.
+ * Links from this entry to the agents: one per agent, opened on first use and shared by many attempts. Each attempt has
+ * its own flow-control credit, so that the entry never buffers more of an answer than the attempt's window.
  */
 package io.carawaytrack.entry
 
@@ -37,61 +37,61 @@
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.atomic.AtomicLong
 
-/** What an attempt brings, in order: a head, chunks, and an end; or a failure at any point. */
+/** Events of an attempt, in order: a head, chunks and an end. A failure may take the place of any of them. */
 internal sealed interface AnswerEvent {
     data class Head(
         val status: Int,
         val headers: List<Header>,
     ) : AnswerEvent
 
-    /** [held] tells whether the bytes are accounted for in the memory budget. */
+    /** [reserved] is whether the bytes are reserved in the memory budget. */
     class Chunk(
         val bytes: ByteArray,
-        val held: Boolean,
+        val reserved: Boolean,
     ) : AnswerEvent
 
-    /** [load] is what the agent reported with the end. */
+    /** [load] is the upstream's load as the agent reported it with the end. */
     data class End(
         val usage: Usage,
         val load: UpstreamLoad,
     ) : AnswerEvent
 
-    /** [load] is null where the failure is this entry's own finding. */
+    /** [load] is null where this entry detected the failure itself. */
     data class Failed(
         val failure: Failure,
         val load: UpstreamLoad? = null,
     ) : AnswerEvent
 }
 
-/** The entry's side of one attempt. */
+/** An attempt as the entry sees it. */
 internal interface Attempt {
     val announcement: Announcement
 
     suspend fun next(): AnswerEvent
 
-    /** Gives back the memory of [chunk] and allows as many bytes more of the answer to be sent. */
-    suspend fun consumed(chunk: AnswerEvent.Chunk)
+    /** Releases the memory of [chunk] and grants the agent credit for the same number of bytes. */
+    suspend fun release(chunk: AnswerEvent.Chunk)
 
-    /** Calls [end] when the memory budget asks for the end of this stream. */
-    fun onOverrun(end: () -> Unit)
+    /** Registers [terminate], which is called when the memory budget requires this stream to end. */
+    fun onMemoryExceeded(terminate: () -> Unit)
 
     suspend fun cancel()
 
-    /** Tells the agent that the outcome is committed. */
-    suspend fun settled()
+    /** Notifies the agent that this entry is responsible for the outcome. */
+    suspend fun notifySettled()
 }
 
-/** Builds the message that opens an attempt, once its number on the link is known. */
+/** Builds the message that opens an attempt from the attempt's number on the link. */
 internal typealias BuildAttempt = (attempt: Long) -> OpenAttempt
 
 internal class AgentLinks(
     private val scope: CoroutineScope,
     private val connect: suspend (HostPort) -> Result<Link, Failure>,
-    private val memory: AnswerMemory,
+    private val memory: AnswerMemoryLimiter,
 ) {
     private val agents = ConcurrentHashMap<UpstreamId, AgentConnection>()
 
-    /** Sends an attempt to the agent of [announcement]. Fails with `NotRun` when the agent cannot be reached. */
+    /** Sends an attempt to the agent of [announcement]; fails with `NotRun` when the agent is unreachable. */
     suspend fun open(
         announcement: Announcement,
         build: BuildAttempt,
@@ -106,9 +106,9 @@
         private var current: AgentLink? = null
 
         suspend fun link(announcement: Announcement): Result<AgentLink, Failure> = opening.withLock {
-            val held = current
-            if (held != null && held.usableFor(announcement)) return Ok(held)
-            held?.close()
+            val existing = current
+            if (existing != null && existing.usableFor(announcement)) return Ok(existing)
+            existing?.close()
             val link =
                 connect(HostPort(announcement.agentHost, announcement.agentPort)).getOrElse { failure ->
                     return Err(ErrorKind.NoHealthyUpstream.notRun(failure.detail))
@@ -123,18 +123,18 @@
 
 private class AgentLink(
     private val link: Link,
-    private val opened: Announcement,
-    private val memory: AnswerMemory,
+    private val initialAnnouncement: Announcement,
+    private val memory: AnswerMemoryLimiter,
 ) {
-    private val attempts = ConcurrentHashMap<Long, OpenedAttempt>()
-    private val numbers = AtomicLong()
+    private val attempts = ConcurrentHashMap<Long, LinkAttempt>()
+    private val attemptNumbers = AtomicLong()
 
     @Volatile
     private var closed = false
 
     fun usableFor(announcement: Announcement): Boolean = !closed &&
-        announcement.incarnation == opened.incarnation &&
-        announcement.agentPort == opened.agentPort
+        announcement.incarnation == initialAnnouncement.incarnation &&
+        announcement.agentPort == initialAnnouncement.agentPort
 
     fun close(): Unit = link.close()
 
@@ -142,16 +142,16 @@
         announcement: Announcement,
         build: BuildAttempt,
     ): Result<Attempt, Failure> {
-        val number = numbers.incrementAndGet()
-        val attempt = OpenedAttempt(number, announcement, link, memory)
+        val number = attemptNumbers.incrementAndGet()
+        val attempt = LinkAttempt(number, announcement, link, memory)
         attempts[number] = attempt
         val sent = link.send(build(number))
         if (sent && !closed) return Ok(attempt)
         attempts.remove(number)
         attempt.close()
-        // The order was queued if it was accepted at all, so a link that closes now may have carried it.
-        if (sent) return Err(lost())
-        return Err(ErrorKind.NoHealthyUpstream.notRun("the link to ${opened.upstream} closed"))
+        // The message was already queued for sending, so it may have reached the agent before the link closed.
+        if (sent) return Err(linkLost())
+        return Err(ErrorKind.NoHealthyUpstream.notRun("the link to the agent of ${initialAnnouncement.upstream} is closed"))
     }
 
     suspend fun receiveAll() {
@@ -161,15 +161,15 @@
         }
         closed = true
         link.close()
-        attempts.values.forEach { it.deliver(AnswerEvent.Failed(lost())) }
+        attempts.values.forEach { it.deliver(AnswerEvent.Failed(linkLost())) }
         attempts.clear()
     }
 
     private fun dispatch(message: Message) {
         when (message) {
             is AnswerHead -> attempts[message.attempt]?.deliver(AnswerEvent.Head(message.status, message.headers))
-            is AnswerChunk -> attempts[message.attempt]?.chunk(message)
-            is AnswerEnd -> attempts.remove(message.attempt)?.end(message)
+            is AnswerChunk -> attempts[message.attempt]?.onChunk(message)
+            is AnswerEnd -> attempts.remove(message.attempt)?.onEnd(message)
             is AnswerFailed -> fail(message.attempt, message.failure, message.load)
             is AttemptRefused -> fail(message.attempt, message.failure, message.load)
             else -> return
@@ -184,21 +184,24 @@
         attempts.remove(attempt)?.deliver(AnswerEvent.Failed(failure, load))
     }
 
-    private fun lost() =
-        Failure(ErrorKind.IncompleteAnswer, Execution.MayHaveRun, "the link to ${opened.upstream} broke")
+    private fun linkLost() = Failure(
+        ErrorKind.IncompleteAnswer,
+        Execution.MayHaveRun,
+        "the link to the agent of ${initialAnnouncement.upstream} closed before the answer was complete",
+    )
 }
 
-private class OpenedAttempt(
+private class LinkAttempt(
     private val number: Long,
     override val announcement: Announcement,
     private val link: Link,
-    private val memory: AnswerMemory,
+    private val memory: AnswerMemoryLimiter,
 ) : Attempt {
     @Volatile
-    private var overrun: () -> Unit = {}
-    private val stream = memory.open { overrun() }
+    private var terminate: () -> Unit = {}
+    private val stream = memory.open { terminate() }
 
-    // Bounded by the credit that has been given, which is counted in bytes.
+    // Unlimited in events, but bounded in bytes by the credit granted to the agent.
     private val events = Channel<AnswerEvent>(Channel.UNLIMITED)
     private var expectedSequence = 0L
 
@@ -206,21 +209,21 @@
         events.trySend(event)
     }
 
-    /** Takes in a chunk; one that was seen before is dropped, and a gap ends the attempt. */
-    fun chunk(message: AnswerChunk) {
+    /** Handles a chunk: drops a duplicate; a gap in the sequence fails the attempt. */
+    fun onChunk(message: AnswerChunk) {
         if (message.sequence < expectedSequence) return
-        if (message.sequence > expectedSequence) return deliver(gap(message.sequence))
+        if (message.sequence > expectedSequence) return deliver(sequenceGap(message.sequence))
         expectedSequence++
-        deliver(AnswerEvent.Chunk(message.bytes, memory.hold(stream, message.bytes.size)))
+        deliver(AnswerEvent.Chunk(message.bytes, memory.reserve(stream, message.bytes.size)))
     }
 
-    fun end(message: AnswerEnd) {
-        if (message.chunks != expectedSequence) return deliver(gap(message.chunks))
+    fun onEnd(message: AnswerEnd) {
+        if (message.chunks != expectedSequence) return deliver(sequenceGap(message.chunks))
         deliver(AnswerEvent.End(message.usage, message.load))
     }
 
-    private fun gap(sequence: Long): AnswerEvent {
-        val detail = "expected part $expectedSequence of the answer, got part $sequence"
+    private fun sequenceGap(sequence: Long): AnswerEvent {
+        val detail = "expected answer chunk $expectedSequence, got $sequence"
         return AnswerEvent.Failed(Failure(ErrorKind.IncompleteAnswer, Execution.MayHaveRun, detail))
     }
 
@@ -230,14 +233,14 @@
         return event
     }
 
-    override suspend fun consumed(chunk: AnswerEvent.Chunk) {
+    override suspend fun release(chunk: AnswerEvent.Chunk) {
         val bytes = chunk.bytes.size
-        if (chunk.held) memory.release(stream, bytes) else memory.awaitRoom(stream, bytes)
+        if (chunk.reserved) memory.release(stream, bytes) else memory.awaitCapacity(stream, bytes)
         link.send(Credit(number, bytes.toLong()))
     }
 
-    override fun onOverrun(end: () -> Unit) {
-        overrun = end
+    override fun onMemoryExceeded(terminate: () -> Unit) {
+        this.terminate = terminate
     }
 
     override suspend fun cancel() {
@@ -247,7 +250,7 @@
 
     fun close(): Unit = memory.close(stream)
 
-    override suspend fun settled() {
+    override suspend fun notifySettled() {
         link.send(AttemptSettled(number))
     }
 }
--- a/entry/src/main/kotlin/io/carawaytrack/entry/Answer.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/Answer.kt
@@ -1,5 +1,5 @@
 /*
- * An answer on its way to the caller, read part by part; or collected first, where it must be rated before it is taken.
+ * The answer to a request, read chunk by chunk, or collected first where it must be rated before it is accepted.
  */
 package io.carawaytrack.entry
 
@@ -17,7 +17,7 @@
 import io.carawaytrack.wire.Usage
 import java.io.ByteArrayOutputStream
 
-/** Largest answer that is collected before it is passed on, in bytes. */
+/** Maximum size of an answer that is collected before it is relayed. */
 internal const val MAX_COLLECTED_BYTES = 8 * 1024 * 1024
 
 internal interface Answer {
@@ -25,28 +25,31 @@
     val announcement: Announcement
     val head: AnswerEvent.Head
 
-    /** What the attempt used; known once [next] has returned null. */
+    /** Token usage of the attempt; known once [next] has returned null. */
     val usage: Usage
 
-    /** Returns the next part of the body, or null after the last one. */
+    /** Returns the next chunk of the body, or null after the last one. */
     suspend fun next(): Result<AnswerEvent.Chunk?, Failure>
 
-    /** Gives back [chunk], which the caller has taken, and makes room for more of the answer. */
-    suspend fun consumed(chunk: AnswerEvent.Chunk)
+    /** Releases [chunk] once the caller has received it, so that the agent may send more of the answer. */
+    suspend fun release(chunk: AnswerEvent.Chunk)
 
-    /** Calls [end] when the memory budget asks for the end of this answer. */
-    fun onOverrun(end: () -> Unit)
+    /** Registers [terminate], which is called when the memory budget requires this answer to end. */
+    fun onMemoryExceeded(terminate: () -> Unit)
 
     suspend fun cancel()
 
-    /** Tells the agent that the outcome is in this entry's hands. */
-    suspend fun settled()
+    /** Notifies the agent that this entry is responsible for the outcome. */
+    suspend fun notifySettled()
 }
 
 internal val Answer.version: ModelVersion get() = member.version
 
-/** An answer whose head has arrived; [onEnd] hears once whether the upstream is healthy, and the load it reported. */
-internal class OpenAnswer(
+/**
+ * An answer whose head has arrived and whose body is relayed as it arrives. Reports through [onEnd] whether the
+ * upstream is healthy, and the load that it reported; only the first call counts.
+ */
+internal class RelayedAnswer(
     override val member: PoolMember,
     override val head: AnswerEvent.Head,
     private val attempt: Attempt,
@@ -71,46 +74,46 @@
         is AnswerEvent.Head -> next()
     }
 
-    override suspend fun consumed(chunk: AnswerEvent.Chunk): Unit = attempt.consumed(chunk)
+    override suspend fun release(chunk: AnswerEvent.Chunk): Unit = attempt.release(chunk)
 
-    override fun onOverrun(end: () -> Unit): Unit = attempt.onOverrun(end)
+    override fun onMemoryExceeded(terminate: () -> Unit): Unit = attempt.onMemoryExceeded(terminate)
 
     override suspend fun cancel() {
         onEnd(true, null)
         attempt.cancel()
     }
 
-    override suspend fun settled(): Unit = attempt.settled()
+    override suspend fun notifySettled(): Unit = attempt.notifySettled()
 }
 
-/** An answer that has arrived whole. */
+/** An answer that has been received completely. */
 internal class CollectedAnswer(
     private val source: Answer,
     val body: ByteArray,
 ) : Answer by source {
-    private var read = false
+    private var returned = false
 
     override suspend fun next(): Result<AnswerEvent.Chunk?, Failure> {
-        val part = if (read) null else AnswerEvent.Chunk(body, held = false)
-        read = true
-        return Ok(part)
+        val chunk = if (returned) null else AnswerEvent.Chunk(body, reserved = false)
+        returned = true
+        return Ok(chunk)
     }
 
-    override suspend fun consumed(chunk: AnswerEvent.Chunk): Unit = Unit
+    override suspend fun release(chunk: AnswerEvent.Chunk): Unit = Unit
 
     override suspend fun cancel(): Unit = Unit
 }
 
-/** Reads the whole of [answer]; fails as it does, or when it is longer than [MAX_COLLECTED_BYTES]. */
-internal suspend fun collected(answer: Answer): Result<CollectedAnswer, Failure> {
+/** Reads [answer] to its end; fails when the answer does or when its body exceeds [MAX_COLLECTED_BYTES]. */
+internal suspend fun collect(answer: Answer): Result<CollectedAnswer, Failure> {
     val body = ByteArrayOutputStream()
     while (true) {
-        val part = answer.next().getOrElse { return Err(it) } ?: break
-        body.write(part.bytes)
-        answer.consumed(part)
+        val chunk = answer.next().getOrElse { return Err(it) } ?: break
+        body.write(chunk.bytes)
+        answer.release(chunk)
         if (body.size() > MAX_COLLECTED_BYTES) {
             answer.cancel()
-            val detail = "expected an answer of at most $MAX_COLLECTED_BYTES bytes"
+            val detail = "expected an answer of at most $MAX_COLLECTED_BYTES bytes, got at least ${body.size()}"
             return Err(Failure(ErrorKind.UpstreamFailed, Execution.MayHaveRun, detail))
         }
     }
--- a/entry/src/main/kotlin/io/carawaytrack/entry/AnswerMemory.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/AnswerMemoryLimiter.kt
@@ -1,6 +1,6 @@
 /*
- * The bytes of answers that this entry holds because their callers have not taken them yet. When the budget asks for
- * it, the slowest reader's stream is ended here.
+ * Limits the memory used for answer chunks that callers have not received yet. Terminates the stream that the memory
+ * budget selects when the limit is reached.
  */
 package io.carawaytrack.entry
 
@@ -11,49 +11,49 @@
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.atomic.AtomicLong
 
-internal class AnswerMemory(
+internal class AnswerMemoryLimiter(
     private val budget: MemoryBudget,
     private val metrics: MemoryMetrics,
 ) {
-    private val numbers = AtomicLong()
-    private val ends = ConcurrentHashMap<StreamId, () -> Unit>()
+    private val streamNumbers = AtomicLong()
+    private val terminators = ConcurrentHashMap<StreamId, () -> Unit>()
 
-    /** Makes a stream known; [end] is called when the budget asks for its end. */
-    fun open(end: () -> Unit): StreamId {
-        val stream = StreamId(numbers.incrementAndGet())
+    /** Registers a stream; [terminate] is called when the budget requires the stream to end. */
+    fun open(terminate: () -> Unit): StreamId {
+        val stream = StreamId(streamNumbers.incrementAndGet())
         budget.open(stream)
-        ends[stream] = end
+        terminators[stream] = terminate
         return stream
     }
 
-    /** Returns whether [bytes] are accounted for; when not, the stream gets no more until [awaitRoom] returns. */
-    fun hold(
+    /** Returns whether [bytes] were reserved; if not, the stream must not send more until [awaitCapacity] returns. */
+    fun reserve(
         stream: StreamId,
         bytes: Int,
     ): Boolean {
         while (true) {
             when (val decision = budget.reserve(stream, bytes.toLong())) {
                 is MemoryDecision.Granted -> return true
-                is MemoryDecision.Pause -> return paused()
+                is MemoryDecision.Pause -> return recordPause()
                 is MemoryDecision.End -> {
-                    end(decision.stream)
+                    terminate(decision.stream)
                     if (decision.stream == stream) return false
                 }
             }
         }
     }
 
-    private fun paused(): Boolean {
+    private fun recordPause(): Boolean {
         metrics.readerPaused()
         return false
     }
 
-    private fun end(stream: StreamId) {
-        val end = ends.remove(stream)
+    private fun terminate(stream: StreamId) {
+        val terminate = terminators.remove(stream)
         budget.close(stream)
-        if (end == null) return
+        if (terminate == null) return
         metrics.readerEnded()
-        end()
+        terminate()
     }
 
     fun release(
@@ -61,7 +61,7 @@
         bytes: Int,
     ): Unit = budget.release(stream, bytes.toLong())
 
-    suspend fun awaitRoom(
+    suspend fun awaitCapacity(
         stream: StreamId,
         bytes: Int,
     ) {
@@ -70,6 +70,6 @@
     }
 
     fun close(stream: StreamId) {
-        if (ends.remove(stream) != null) budget.close(stream)
+        if (terminators.remove(stream) != null) budget.close(stream)
     }
 }
--- a/entry/src/main/kotlin/io/carawaytrack/entry/CallerApi.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/CallerApi.kt
@@ -1,5 +1,5 @@
 /*
- * The HTTP side towards callers: takes calls in, hands them to the decisions, and has the replies written.
+ * HTTP server for callers: reads each call, passes the request to [RequestHandler] and writes the reply.
  */
 package io.carawaytrack.entry
 
@@ -42,13 +42,13 @@
     private val telemetry: Telemetry,
     private val metrics: EntryMetrics,
     private val nanoTime: () -> Long,
-    private val mayAccept: () -> Failure?,
+    private val admissionFailure: () -> Failure?,
 ) {
-    private val open = MutableStateFlow(0)
+    private val openRequests = MutableStateFlow(0)
 
     fun start(
         address: HostPort,
-        receiveMillis: Long,
+        receiveTimeoutMillis: Long,
     ): EmbeddedServer<*, *> = embeddedServer(
         factory = CIO,
         configure = {
@@ -56,47 +56,48 @@
                 host = address.host
                 port = address.port
             }
-            // Also bounds the time that a caller may take for its headers.
-            connectionIdleTimeoutSeconds = (receiveMillis / MILLIS_PER_SECOND).toInt().coerceAtLeast(1)
+            // CIO applies the idle timeout to the reception of the headers as well.
+            connectionIdleTimeoutSeconds = (receiveTimeoutMillis / MILLIS_PER_SECOND).toInt().coerceAtLeast(1)
         },
-        module = { intercept(io.ktor.server.application.ApplicationCallPipeline.Call) { serve(call) } },
+        module = { intercept(io.ktor.server.application.ApplicationCallPipeline.Call) { handle(call) } },
     ).start()
 
     /** Waits until no request is open. */
     suspend fun awaitIdle() {
-        open.first { it == 0 }
+        openRequests.first { it == 0 }
     }
 
-    private suspend fun serve(call: ApplicationCall) {
-        open.update { it + 1 }
+    private suspend fun handle(call: ApplicationCall) {
+        openRequests.update { it + 1 }
         val id = RequestId(UUID.randomUUID().toString())
         try {
-            telemetry.span("entry", call.request.headers[TRACE_HEADER]).use { span -> answer(call, id, span) }
-        } catch (gone: IOException) {
-            logger.info(id) { "the caller closed the connection: ${gone.message}" }
+            telemetry.span("entry", call.request.headers[TRACE_HEADER]).use { span -> process(call, id, span) }
+        } catch (disconnected: IOException) {
+            logger.info(id) { "the caller closed the connection: ${disconnected.message}" }
         } finally {
-            open.update { it - 1 }
+            openRequests.update { it - 1 }
         }
     }
 
-    private suspend fun answer(
+    private suspend fun process(
         call: ApplicationCall,
         id: RequestId,
         span: HopSpan,
     ) {
         span.attribute("request", id.value)
-        mayAccept()?.let { return refuseEarly(call, id, it, span) }
-        val request = reader.read(call, id, span.traceparent).getOrElse { return refuseEarly(call, id, it, span) }
-        // The work outlives a caller that goes away, so that a request which must not run twice is followed to its end.
+        admissionFailure()?.let { return refuseUnread(call, id, it, span) }
+        val request = reader.read(call, id, span.traceparent).getOrElse { return refuseUnread(call, id, it, span) }
+        // Handling continues after the caller disconnects, so that the outcome of a request that must not run twice is
+        // still recorded.
         val startedNanos = nanoTime()
-        val reply = scope.async { handler.handle(request) }
-        val outcome = reply.await()
+        val pendingReply = scope.async { handler.handle(request) }
+        val reply = pendingReply.await()
         metrics.firstByte(request.route.name, nanoTime() - startedNanos)
-        val failure = writer.write(call, outcome, span)
-        metrics.requestEnded(ended(request, outcome, failure, nanoTime() - startedNanos))
+        val failure = writer.write(call, reply, span)
+        metrics.requestEnded(requestEnd(request, reply, failure, nanoTime() - startedNanos))
     }
 
-    private fun ended(
+    private fun requestEnd(
         request: CallerRequest,
         reply: Reply,
         failure: Failure?,
@@ -110,7 +111,7 @@
         elapsedNanos = elapsedNanos,
     )
 
-    private suspend fun refuseEarly(
+    private suspend fun refuseUnread(
         call: ApplicationCall,
         id: RequestId,
         failure: Failure,
@@ -121,13 +122,13 @@
     }
 }
 
-/** Refuses new requests while the process may not place work. */
-internal fun acceptance(
+/** Returns a check that rejects new requests during shutdown and while this entry holds no lease. */
+internal fun admissionCheck(
     leaseHeld: () -> Boolean,
-    stopping: () -> Boolean,
+    shuttingDown: () -> Boolean,
 ): () -> Failure? = {
     when {
-        stopping() -> ErrorKind.ShuttingDown.notRun(retryAfterMillis = 0)
+        shuttingDown() -> ErrorKind.ShuttingDown.notRun(retryAfterMillis = 0)
         !leaseHeld() -> ErrorKind.ControlUnavailable.notRun(retryAfterMillis = MILLIS_PER_SECOND)
         else -> null
     }
--- a/entry/src/main/kotlin/io/carawaytrack/entry/CallerRequest.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/CallerRequest.kt
@@ -1,5 +1,5 @@
 /*
- * A caller's request after it has been read and checked, before anything is decided.
+ * A caller's request after validation and before planning.
  */
 package io.carawaytrack.entry
 
@@ -12,10 +12,10 @@
 import io.carawaytrack.wire.Header
 
 /**
- * Describes a request.
+ * Describes a validated request.
  *
- * @property chat the parsed body of a chat request, null for a plain service
- * @property deadlineMillis moment on the monotonic clock at which the caller's time is over
+ * @property chat parsed body of a chat request; null for a plain service
+ * @property deadlineMillis deadline on the monotonic clock
  */
 internal class CallerRequest(
     val id: RequestId,
@@ -31,15 +31,15 @@
     val traceparent: String?,
     val deadlineMillis: Long,
 ) {
-    /** Whether the request may be sent to an upstream again after its outcome became unknown. */
+    /** Whether the request is idempotent: it may be sent again after an attempt with unknown outcome. */
     val repeatable: Boolean = chat != null || method in route.repeatableMethods
 
-    /** Whether the caller wants the answer as it is made. */
+    /** Whether the caller asked for a streamed answer. */
     val streamed: Boolean = chat?.stream ?: false
 
     val estimatedTokens: Long = chat?.estimatedTokens ?: 0
 
-    /** Tells one request from another, by organisation, method, path and body. */
+    /** Hash of organisation, method, path and body; identifies resends of the same request. */
     val fingerprint: Long =
         Hashing
             .xxh3_64()
@@ -52,9 +52,9 @@
 
     fun bodyFor(version: ModelVersion): ByteArray = chat?.forVersion(version) ?: body
 
-    /** Returns this request under the identity of its first sending. */
-    fun withId(first: RequestId): CallerRequest = CallerRequest(
-        id = first,
+    /** Returns a copy with the id under which the request was first sent. */
+    fun withId(originalId: RequestId): CallerRequest = CallerRequest(
+        id = originalId,
         organisation = organisation,
         route = route,
         method = method,
--- a/entry/src/main/kotlin/io/carawaytrack/entry/ChatBody.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/ChatBody.kt
@@ -1,6 +1,6 @@
 /*
- * What the entry reads and changes in a chat request: the model that the caller names becomes the one that the plan
- * chose, and everything else passes as it came.
+ * Body of a chat request. The entry replaces the model that the caller names with the model of the planned version and
+ * relays all other fields unchanged.
  */
 package io.carawaytrack.entry
 
@@ -20,7 +20,7 @@
 import kotlinx.serialization.json.longOrNull
 
 private const val BYTES_PER_TOKEN = 4
-private const val DEEPEST_NESTING = 64
+private const val MAX_NESTING_DEPTH = 64
 private const val DEFAULT_ANSWER_TOKENS = 256L
 
 internal class ChatBody private constructor(
@@ -30,29 +30,29 @@
 ) {
     val stream: Boolean = (fields["stream"] as? JsonPrimitive)?.booleanOrNull ?: false
 
-    /** Prompt tokens by size, plus the answer that the caller allows. */
+    /** Prompt tokens estimated from the body size, plus the answer tokens that the caller allows. */
     val estimatedTokens: Long
         get() =
             bytes / BYTES_PER_TOKEN +
                 ((fields["max_tokens"] as? JsonPrimitive)?.longOrNull ?: DEFAULT_ANSWER_TOKENS)
 
-    /** Returns the body that goes to an engine which serves [version]. */
+    /** Returns the body to send to an upstream that serves [version]. */
     fun forVersion(version: ModelVersion): ByteArray =
         JsonObject(fields + ("model" to JsonPrimitive(version.model))).toString().encodeToByteArray()
 
     companion object {
         fun parse(bytes: ByteArray): Result<ChatBody, Failure> {
-            // The parser descends by recursion, so that deep nesting would exhaust the stack.
-            if (nesting(bytes) > DEEPEST_NESTING) return malformed("JSON nested at most $DEEPEST_NESTING deep")
+            // The JSON parser is recursive: deep nesting would overflow the stack.
+            if (nestingDepth(bytes) > MAX_NESTING_DEPTH) return malformed("JSON nested at most $MAX_NESTING_DEPTH deep")
             val fields =
                 try {
                     Json.parseToJsonElement(bytes.decodeToString()) as? JsonObject
-                } catch (malformed: IllegalArgumentException) {
-                    return malformed("valid JSON: ${malformed.message?.lineSequence()?.first()}")
+                } catch (invalid: IllegalArgumentException) {
+                    return malformed("valid JSON: ${invalid.message?.lineSequence()?.first()}")
                 }
             if (fields == null) return malformed("a JSON object")
             val model = (fields["model"] as? JsonPrimitive)?.contentOrNull ?: return malformed("the field model")
-            if (fields["messages"] !is JsonArray) return malformed("the list messages")
+            if (fields["messages"] !is JsonArray) return malformed("the array messages")
             return Ok(ChatBody(fields, model, bytes.size))
         }
 
@@ -60,8 +60,8 @@
     }
 }
 
-/** Counts how deep the objects and lists of a JSON text are nested, without parsing it. */
-private fun nesting(json: ByteArray): Int {
+/** Returns the nesting depth of the objects and arrays in a JSON text, without parsing it. */
+private fun nestingDepth(json: ByteArray): Int {
     var depth = 0
     var deepest = 0
     var quoted = false
--- a/entry/src/main/kotlin/io/carawaytrack/entry/Dispatcher.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/Dispatcher.kt
@@ -1,6 +1,6 @@
 /*
- * Brings one request to one version: chooses an upstream, sends the attempt, and tries another one where that is safe.
- * An attempt that was refused as not run may always go elsewhere; one that may have run is repeated at most once, and
+ * Dispatches a request to one version: chooses an upstream, sends the attempt, and retries on another upstream where
+ * that is safe. An attempt refused as not run may always be retried; one that may have run is retried at most once, and
  * only when the request is repeatable.
  */
 package io.carawaytrack.entry
@@ -31,14 +31,14 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.withTimeoutOrNull
 
-private const val REPEATS_AFTER_FAILURE = 1
-private const val WAIT_FOR_ROOM_MILLIS = 2_000L
-private const val ROOM_CHECK_MILLIS = 50L
-private const val CANCEL_ANSWER_MILLIS = 2_000L
-private const val LOWEST_SERVER_ERROR = 500
+private const val MAX_RETRIES_AFTER_EXECUTION = 1
+private const val MAX_CAPACITY_WAIT_MILLIS = 2_000L
+private const val CAPACITY_POLL_INTERVAL_MILLIS = 50L
+private const val CANCEL_REPLY_TIMEOUT_MILLIS = 2_000L
+private const val MIN_SERVER_ERROR_STATUS = 500
 
-/** Refusals that another upstream would give as well. */
-private val finalKinds = setOf(ErrorKind.Quarantined, ErrorKind.NotAllowed)
+/** Refusals for which a retry is pointless, because every upstream gives the same one. */
+private val nonRetryableKinds = setOf(ErrorKind.Quarantined, ErrorKind.NotAllowed)
 
 internal class Dispatcher(
     private val chooser: UpstreamChooser,
@@ -47,10 +47,10 @@
     private val configuration: () -> Configuration,
     private val nowMillis: () -> Long,
     private val windowBytes: Long,
-    private val retries: RetryBudget,
+    private val retryBudget: RetryBudget,
     private val metrics: EntryMetrics,
 ) {
-    /** Opens an answer of [version] to [request]; a failure says truthfully whether any upstream may have run it. */
+    /** Opens an answer of [version] to [request]; the failure states whether any upstream may have run the request. */
     suspend fun open(
         request: CallerRequest,
         version: ModelVersion,
@@ -58,42 +58,42 @@
     ): Result<Answer, Failure> {
         val member =
             configuration().tables.membersOf(request.route.pool).find { it.version == version }
-                ?: return Err(ErrorKind.StaleConfiguration.notRun("$version left the pool ${request.route.pool}"))
-        retries.requested()
-        return Search(request, member, pinned).run()
+                ?: return Err(ErrorKind.StaleConfiguration.notRun("$version is not in pool ${request.route.pool}"))
+        retryBudget.requested()
+        return RetryLoop(request, member, pinned).run()
     }
 
-    private inner class Search(
+    private inner class RetryLoop(
         private val request: CallerRequest,
         private val member: PoolMember,
         private val pinned: Boolean,
     ) {
         private val excluded = HashSet<UpstreamId>()
-        private var failure: Failure? = null
+        private var lastFailure: Failure? = null
         private var execution = Execution.NotRun
-        private var repeats = 0
-        private val roomUntilMillis = minOf(nowMillis() + WAIT_FOR_ROOM_MILLIS, request.deadlineMillis)
+        private var retriesAfterExecution = 0
+        private val capacityDeadlineMillis = minOf(nowMillis() + MAX_CAPACITY_WAIT_MILLIS, request.deadlineMillis)
 
         suspend fun run(): Result<Answer, Failure> {
             while (nowMillis() < request.deadlineMillis) {
-                if (!lease.held) return ended(ErrorKind.ControlUnavailable.notRun())
-                tryOnce()?.let { return it }
+                if (!lease.held) return failed(ErrorKind.ControlUnavailable.notRun())
+                attemptOnce()?.let { return it }
             }
-            return ended(failure ?: ErrorKind.UpstreamTimeout.notRun("the request's time is over"))
+            return failed(lastFailure ?: ErrorKind.UpstreamTimeout.notRun("the request timeout has expired"))
         }
 
-        /** Returns null when another try is useful. */
-        private suspend fun tryOnce(): Result<Answer, Failure>? {
+        /** Returns null when the attempt should be retried. */
+        private suspend fun attemptOnce(): Result<Answer, Failure>? {
             val announcement =
-                choose().getOrElse { none ->
-                    if (!mayWait(none)) return ended(failure ?: none)
-                    delay(ROOM_CHECK_MILLIS)
+                choose().getOrElse { noChoice ->
+                    if (!mayWaitForCapacity(noChoice)) return failed(lastFailure ?: noChoice)
+                    delay(CAPACITY_POLL_INTERVAL_MILLIS)
                     excluded.clear()
                     return null
                 }
             val answer =
-                attempt(announcement).getOrElse { failed ->
-                    return if (mayRepeat(failed, announcement)) null else ended(failed)
+                attempt(announcement).getOrElse { failure ->
+                    return if (mayRetry(failure, announcement)) null else failed(failure)
                 }
             return Ok(answer)
         }
@@ -109,69 +109,73 @@
             return chooser.choose(configuration(), choice)
         }
 
-        private fun mayWait(none: Failure): Boolean =
-            (none.kind.retryable || failure?.kind?.retryable == true) && nowMillis() < roomUntilMillis
+        private fun mayWaitForCapacity(noChoice: Failure): Boolean =
+            (noChoice.kind.retryable || lastFailure?.kind?.retryable == true) && nowMillis() < capacityDeadlineMillis
 
-        private fun mayRepeat(
-            failed: Failure,
+        private fun mayRetry(
+            failure: Failure,
             announcement: Announcement,
         ): Boolean {
-            failure = failed
+            lastFailure = failure
             excluded += announcement.upstream
-            if (failed.kind in finalKinds) return false
-            if (failed.execution == Execution.NotRun) return true
+            if (failure.kind in nonRetryableKinds) return false
+            if (failure.execution == Execution.NotRun) return true
             execution = Execution.MayHaveRun
-            return request.repeatable && repeats++ < REPEATS_AFTER_FAILURE && retries.tryRetry()
+            return request.repeatable && retriesAfterExecution++ < MAX_RETRIES_AFTER_EXECUTION && retryBudget.tryRetry()
         }
 
-        private fun ended(last: Failure): Result<Nothing, Failure> =
+        private fun failed(last: Failure): Result<Nothing, Failure> =
             Err(last.copy(execution = maxOf(last.execution, execution)))
 
         private suspend fun attempt(announcement: Announcement): Result<Answer, Failure> {
             chooser.started(announcement.upstream, request.estimatedTokens)
             metrics.attemptStarted(member.version, announcement.zone)
             val attempt =
-                links.open(announcement, ::order).getOrElse { failed ->
-                    finished(announcement, healthy = false, load = null)
-                    ended(announcement, failed)
-                    return Err(failed)
+                links.open(announcement, ::openAttempt).getOrElse { failure ->
+                    reportToChooser(announcement, healthy = false, load = null)
+                    recordAttemptEnd(announcement, failure)
+                    return Err(failure)
                 }
-            return when (val first = first(attempt)) {
-                is AnswerEvent.Head -> opened(attempt, first)
+            return when (val first = firstEvent(attempt)) {
+                is AnswerEvent.Head -> answerOf(attempt, first)
                 is AnswerEvent.Failed -> {
-                    finished(announcement, first.failure.execution == Execution.NotRun, first.load)
-                    ended(announcement, first.failure)
+                    reportToChooser(announcement, first.failure.execution == Execution.NotRun, first.load)
+                    recordAttemptEnd(announcement, first.failure)
                     Err(first.failure)
                 }
                 else ->
                     Err(
-                        Failure(ErrorKind.ProtocolViolation, Execution.MayHaveRun, "expected the head of an answer"),
+                        Failure(
+                            ErrorKind.ProtocolViolation,
+                            Execution.MayHaveRun,
+                            "expected an answer head from the agent, got ${first::class.simpleName}",
+                        ),
                     )
             }
         }
 
-        private suspend fun opened(
+        private suspend fun answerOf(
             attempt: Attempt,
             head: AnswerEvent.Head,
         ): Result<Answer, Failure> {
             var ended = false
             val onEnd = { healthy: Boolean, load: UpstreamLoad? ->
                 if (!ended) {
-                    finished(attempt.announcement, healthy, load)
-                    ended(attempt.announcement, failure = null)
+                    reportToChooser(attempt.announcement, healthy, load)
+                    recordAttemptEnd(attempt.announcement, failure = null)
                 }
                 ended = true
             }
-            if (request.route.kind == ServiceKind.Model && head.status >= LOWEST_SERVER_ERROR) {
+            if (request.route.kind == ServiceKind.Model && head.status >= MIN_SERVER_ERROR_STATUS) {
                 onEnd(false, null)
                 attempt.cancel()
-                val detail = "the upstream answered with status ${head.status}"
+                val detail = "upstream ${attempt.announcement.upstream} returned status ${head.status}"
                 return Err(Failure(ErrorKind.UpstreamFailed, Execution.MayHaveRun, detail))
             }
-            return Ok(OpenAnswer(member, head, attempt, onEnd))
+            return Ok(RelayedAnswer(member, head, attempt, onEnd))
         }
 
-        private fun finished(
+        private fun reportToChooser(
             announcement: Announcement,
             healthy: Boolean,
             load: UpstreamLoad?,
@@ -180,25 +184,25 @@
             if (load != null) chooser.report(announcement.upstream, load)
         }
 
-        private fun ended(
+        private fun recordAttemptEnd(
             announcement: Announcement,
             failure: Failure?,
         ) = metrics.attemptEnded(
             AttemptEnd(member.version, announcement.zone, failure?.kind, failure?.execution ?: Execution.Ran),
         )
 
-        private suspend fun first(attempt: Attempt): AnswerEvent {
+        private suspend fun firstEvent(attempt: Attempt): AnswerEvent {
             val waitMillis = request.deadlineMillis - nowMillis()
             withTimeoutOrNull(waitMillis) { attempt.next() }?.let { return it }
-            // Only the agent can tell whether the upstream has seen the request.
+            // Only the agent knows whether the upstream has received the request.
             attempt.cancel()
-            val answer = withTimeoutOrNull(CANCEL_ANSWER_MILLIS) { attempt.next() }
-            if (answer is AnswerEvent.Failed && answer.failure.execution == Execution.NotRun) return answer
-            val detail = "expected the head of an answer within $waitMillis ms"
+            val reply = withTimeoutOrNull(CANCEL_REPLY_TIMEOUT_MILLIS) { attempt.next() }
+            if (reply is AnswerEvent.Failed && reply.failure.execution == Execution.NotRun) return reply
+            val detail = "expected an answer head from ${attempt.announcement.upstream} within $waitMillis ms, got none"
             return AnswerEvent.Failed(Failure(ErrorKind.UpstreamTimeout, Execution.MayHaveRun, detail))
         }
 
-        private fun order(number: Long) = OpenAttempt(
+        private fun openAttempt(number: Long) = OpenAttempt(
             attempt = number,
             request = request.id,
             organisation = request.organisation.name,
--- a/entry/src/main/kotlin/io/carawaytrack/entry/Entry.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/Entry.kt
@@ -1,5 +1,5 @@
 /*
- * One entry: its parts, joined, from the start to the graceful shutdown.
+ * Assembles the components of an entry and runs them from start to graceful shutdown.
  */
 package io.carawaytrack.entry
 
@@ -30,8 +30,8 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** Largest part of an answer that an agent sends at once, in bytes; a stream may overdraw its window by one. */
-private const val LARGEST_PART_BYTES = 16 * 1024L
+/** Maximum size of an answer chunk sent by an agent; a stream may exceed its window by one chunk. */
+private const val MAX_CHUNK_BYTES = 16 * 1024L
 
 internal class Entry(
     private val settings: EntrySettings,
@@ -53,35 +53,35 @@
             ),
         )
     private val ledger = LedgerClient(scope, control)
-    private val rating = settings.ratingAddress?.let(::RatingClient)
+    private val ratingClient = settings.ratingAddress?.let(::RatingClient)
 
     @Volatile
-    private var stopping = false
+    private var shuttingDown = false
 
     @Volatile
-    private var refusing = false
+    private var rejectingRequests = false
 
     suspend fun run(awaitStop: suspend () -> Unit) {
         control.start()
         watchLease(telemetry.registry, control.lease::remainingMillis)
         val api = api()
-        val server = api.start(settings.callerAddress, settings.receiveMillis)
-        val ready = { control.lease.held && control.configuration.number > 0 && !stopping }
+        val server = api.start(settings.callerAddress, settings.receiveTimeoutMillis)
+        val ready = { control.lease.held && control.configuration.number > 0 && !shuttingDown }
         ObservabilityServer(process.observability, telemetry.registry, ready).use {
             logger.info { "entry ${process.node} listens on ${settings.callerAddress}" }
             awaitStop()
-            stop(api)
-            // A request is no longer open once its answer is queued; the server has yet to send it to a slow caller.
+            drain(api)
+            // A request counts as open until its answer is queued; the server may still be sending it to a slow caller.
             server.stop(gracePeriodMillis = process.drainMillis, timeoutMillis = process.drainMillis)
         }
         close()
     }
 
     private fun api(): CallerApi {
-        val reader = RequestReader(RouteTables(control::configuration), settings, ::monotonicMillis)
-        val mayAccept = acceptance({ control.lease.held }, { refusing })
+        val reader = RequestReader(RouteTableCache(control::configuration), settings, ::monotonicMillis)
+        val admissionFailure = admissionCheck({ control.lease.held }, { rejectingRequests })
         val writer = ReplyWriter(scope, metrics, System::nanoTime)
-        return CallerApi(scope, reader, handler(), writer, telemetry, metrics, System::nanoTime, mayAccept)
+        return CallerApi(scope, reader, handler(), writer, telemetry, metrics, System::nanoTime, admissionFailure)
     }
 
     private fun handler() = RequestHandler(
@@ -89,50 +89,56 @@
         planner = Planner(Random(System.nanoTime())),
         dispatcher = dispatcher(),
         ledger = ledger,
-        pins = SessionPins(),
+        sessionVersions = SessionVersionCache(),
         configuration = control::configuration,
         wallClockMillis = System::currentTimeMillis,
         nowMillis = ::monotonicMillis,
         metrics = metrics,
-    ) { request, version, answer -> rating?.rate(request, version, answer) }
+    ) { request, version, answer -> ratingClient?.rate(request, version, answer) }
 
     private fun dispatcher() = Dispatcher(
         chooser = chooser,
-        links = AgentLinks(scope, hub::connect, memory()),
+        links = AgentLinks(scope, hub::connect, answerMemory()),
         lease = control.lease,
         configuration = control::configuration,
         nowMillis = ::monotonicMillis,
         windowBytes = settings.windowBytes,
-        retries = RetryBudget(RetrySettings(), ::monotonicMillis),
+        retryBudget = RetryBudget(RetrySettings(), ::monotonicMillis),
         metrics = metrics,
     )
 
-    private fun memory(): AnswerMemory {
+    private fun answerMemory(): AnswerMemoryLimiter {
         val limits =
             MemorySettings(
                 hardBytes = settings.memoryBudgetBytes,
-                streamBytes = settings.windowBytes + LARGEST_PART_BYTES,
+                streamBytes = settings.windowBytes + MAX_CHUNK_BYTES,
             )
         val budget = MemoryBudget(limits, ::monotonicMillis)
-        return AnswerMemory(budget, MemoryMetrics(telemetry.registry, settings.memoryBudgetBytes, budget::usedBytes))
+        return AnswerMemoryLimiter(
+            budget,
+            MemoryMetrics(telemetry.registry, settings.memoryBudgetBytes, budget::usedBytes),
+        )
     }
 
-    /** Lets the balancer notice first, so that no caller meets a closed door, then finishes what is open. */
-    private suspend fun stop(api: CallerApi) {
-        stopping = true
+    /**
+     * Reports unready, gives the load balancer time to react, and only then rejects new requests, so that a shutdown
+     * refuses no caller. Then waits for open requests to complete.
+     */
+    private suspend fun drain(api: CallerApi) {
+        shuttingDown = true
         delay(settings.drainNoticeMillis)
-        refusing = true
-        val idle =
+        rejectingRequests = true
+        val drained =
             withTimeoutOrNull(process.drainMillis) {
                 api.awaitIdle()
-                ledger.awaitSettled()
+                ledger.awaitPendingOutcomes()
             }
-        if (idle == null) logger.warn { "expected no open request after ${process.drainMillis} ms" }
+        if (drained == null) logger.warn { "requests or their outcomes still open after ${process.drainMillis} ms" }
     }
 
     private suspend fun close() {
         control.close()
-        rating?.close()
+        ratingClient?.close()
         hub.drain()
         hub.close()
         scope.cancel()
--- a/entry/src/main/kotlin/io/carawaytrack/entry/ErrorBody.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/ErrorBody.kt
@@ -1,5 +1,5 @@
 /*
- * The body of a refusal, in the shape that clients of chat completions know.
+ * JSON body of a refusal, in the error format of the chat completions API.
  */
 package io.carawaytrack.entry
 
@@ -11,7 +11,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.json.Json
 
-/** Body of every refusal, in the shape that clients of chat completions know. */
+/** Body of every refusal. */
 @Serializable
 internal data class ErrorBody(
     val error: ErrorDetail,
@@ -28,7 +28,7 @@
 
 private val json = Json { encodeDefaults = true }
 
-/** Renders the body that refuses the request [id]. */
+/** Returns the JSON body that refuses the request [id]. */
 internal fun errorBody(
     id: RequestId,
     failure: Failure,
--- a/entry/src/main/kotlin/io/carawaytrack/entry/LedgerClient.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/LedgerClient.kt
@@ -1,5 +1,5 @@
 /*
- * The entry's side of the request ledger.
+ * Client of the request ledger.
  */
 package io.carawaytrack.entry
 
@@ -26,51 +26,51 @@
 
 private val logger = KotlinLogging.logger {}
 
-private const val BEGIN_TIMEOUT_MILLIS = 5_000L
-private const val FINISH_TIMEOUT_MILLIS = 60_000L
+private const val COMMIT_TIMEOUT_MILLIS = 5_000L
+private const val BACKGROUND_COMMIT_TIMEOUT_MILLIS = 60_000L
 
 internal class LedgerClient(
     private val scope: CoroutineScope,
     private val control: ControlClient,
 ) {
-    private val unsettled = MutableStateFlow(0)
+    private val pendingOutcomes = MutableStateFlow(0)
 
-    /** Records an intent; nothing has been sent to an upstream yet, so every failure says `NotRun`. */
+    /** Records an intent. Every failure is `NotRun`, since nothing has been sent to an upstream yet. */
     suspend fun begin(command: LedgerCommand.Begin): Result<LedgerReply, Failure> {
         val reply =
-            control.commit(command.encode(), BEGIN_TIMEOUT_MILLIS).getOrElse { failure ->
+            control.commit(command.encode(), COMMIT_TIMEOUT_MILLIS).getOrElse { failure ->
                 return Err(ErrorKind.ControlUnavailable.notRun(failure.detail))
             }
         return Ok(decodeLedgerReply(reply))
     }
 
-    /** Records an outcome and waits for it; returns whether it is committed. */
+    /** Records an outcome and returns whether it was committed within [timeoutMillis]. */
     suspend fun finish(
         command: LedgerCommand,
-        timeoutMillis: Long = BEGIN_TIMEOUT_MILLIS,
+        timeoutMillis: Long = COMMIT_TIMEOUT_MILLIS,
     ): Boolean {
         val committed = control.commit(command.encode(), timeoutMillis)
         return committed.map { true }.getOrElse { false }
     }
 
-    /** Records an outcome in the background and then calls [onCommitted]. */
-    fun finishLater(
+    /** Records an outcome in the background and calls [onCommitted] once it is committed. */
+    fun finishInBackground(
         command: LedgerCommand.Finish,
         onCommitted: suspend () -> Unit,
     ) {
-        unsettled.update { it + 1 }
+        pendingOutcomes.update { it + 1 }
         scope.launch {
-            if (finish(command, FINISH_TIMEOUT_MILLIS)) {
+            if (finish(command, BACKGROUND_COMMIT_TIMEOUT_MILLIS)) {
                 onCommitted()
             } else {
-                logger.error(command.request) { "outcome not committed within $FINISH_TIMEOUT_MILLIS ms" }
+                logger.error(command.request) { "outcome not committed within $BACKGROUND_COMMIT_TIMEOUT_MILLIS ms" }
             }
-            unsettled.update { it - 1 }
+            pendingOutcomes.update { it - 1 }
         }
     }
 
-    /** Waits until every outcome has been committed or given up. */
-    suspend fun awaitSettled() {
-        unsettled.first { it == 0 }
+    /** Waits until every background outcome has been committed or has timed out. */
+    suspend fun awaitPendingOutcomes() {
+        pendingOutcomes.first { it == 0 }
     }
 }
--- a/entry/src/main/kotlin/io/carawaytrack/entry/Main.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/Main.kt
@@ -1,5 +1,5 @@
 /*
- * The program `caraway-entry`: takes callers' requests, decides where they run, and brings the answers back.
+ * The `caraway-entry` program: accepts requests from callers, routes them to upstreams and relays the answers.
  */
 package io.carawaytrack.entry
 
@@ -12,10 +12,10 @@
 import java.nio.file.Path
 import java.util.concurrent.Callable
 
-/** Starts an entry from the command line. */
+/** Entry point of the command line program. */
 public fun main(arguments: Array<String>): Unit = runCommand(EntryCommand(), arguments)
 
-@Command(name = "caraway-entry", mixinStandardHelpOptions = true, description = ["Takes callers' requests."])
+@Command(name = "caraway-entry", mixinStandardHelpOptions = true, description = ["Routes requests to upstreams."])
 private class EntryCommand : Callable<Int> {
     @Option(names = ["--settings"], required = true, description = ["Settings file in TOML."])
     private lateinit var settingsFile: Path
--- a/entry/src/main/kotlin/io/carawaytrack/entry/RatingClient.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/RatingClient.kt
@@ -1,5 +1,5 @@
 /*
- * Asks the platform's rating service for the quality of an answer. A rating that fails or comes late counts as none.
+ * Client of the platform's rating service. A rating that fails or exceeds the timeout counts as missing.
  */
 package io.carawaytrack.entry
 
@@ -49,14 +49,14 @@
     ): Double? {
         val body = RatingRequest(request.value, version.model, version.version, answer.decodeToString())
         return try {
-            withTimeoutOrNull(RATING_TIMEOUT_MILLIS) { ask(json.encodeToString(body)) }
-        } catch (broken: IOException) {
-            logger.debug { "no rating: ${broken.message}" }
+            withTimeoutOrNull(RATING_TIMEOUT_MILLIS) { requestRating(json.encodeToString(body)) }
+        } catch (failure: IOException) {
+            logger.debug { "rating request to $address failed: ${failure.message}" }
             null
         }
     }
 
-    private suspend fun ask(body: String): Double? {
+    private suspend fun requestRating(body: String): Double? {
         val response =
             client.post("http://$address/rate") {
                 contentType(ContentType.Application.Json)
--- a/entry/src/main/kotlin/io/carawaytrack/entry/ReplyWriter.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/ReplyWriter.kt
@@ -1,6 +1,6 @@
 /*
- * Writes replies to callers over HTTP. Every answer carries the request id; a refusal carries the error kind and
- * whether the request ran.
+ * Writes replies to callers over HTTP. Every reply carries the request id; a refusal also carries the error kind and
+ * whether the request was executed.
  */
 package io.carawaytrack.entry
 
@@ -49,24 +49,24 @@
 internal const val EXECUTION_HEADER = "X-Caraway-Execution"
 internal const val REPEATED_HEADER = "X-Caraway-Repeated"
 
-/** Headers of an upstream's answer that describe the connection or that the server sets itself. */
-private val ownHeaders = setOf("content-type", "content-length", "connection", "date", "server", "x-request-id")
+/** Headers of an upstream's answer that are not relayed: they apply to one connection, or the server sets them. */
+private val excludedHeaders = setOf("content-type", "content-length", "connection", "date", "server", "x-request-id")
 
-private val unkept = Failure(ErrorKind.AnswerNotKept, Execution.Ran)
+private val answerNotStored = Failure(ErrorKind.AnswerNotKept, Execution.Ran)
 
 internal class ReplyWriter(
     private val scope: CoroutineScope,
     private val metrics: EntryMetrics,
     private val nanoTime: () -> Long,
 ) {
-    /** Writes [reply]; returns the failure that the caller got, or null for a complete answer. */
+    /** Writes [reply]; returns the failure reported to the caller, or null for a complete answer. */
     suspend fun write(
         call: ApplicationCall,
         reply: Reply,
         span: HopSpan,
     ): Failure? = when (reply) {
         is Reply.Refused -> refuse(call, reply.request, reply.failure, span)
-        is Reply.Repeated -> repeat(call, reply, span)
+        is Reply.Replayed -> replay(call, reply, span)
         is Reply.Answered -> relay(call, reply, span)
     }
 
@@ -81,29 +81,29 @@
         call.response.header(REQUEST_ID_HEADER, id.value)
         call.response.header(ERROR_KIND_HEADER, failure.kind.name)
         call.response.header(EXECUTION_HEADER, failure.execution.name)
-        failure.retryAfterMillis?.let { call.response.header(HttpHeaders.RetryAfter, seconds(it)) }
+        failure.retryAfterMillis?.let { call.response.header(HttpHeaders.RetryAfter, wholeSeconds(it)) }
         call.respondText(errorBody(id, failure), ContentType.Application.Json, failure.statusCode)
         return failure
     }
 
-    private fun seconds(millis: Long): String = ((millis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND).toString()
+    private fun wholeSeconds(millis: Long): String = ((millis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND).toString()
 
-    private suspend fun repeat(
+    private suspend fun replay(
         call: ApplicationCall,
-        reply: Reply.Repeated,
+        reply: Reply.Replayed,
         span: HopSpan,
     ): Failure? {
         val stored = reply.answer
-        val body = stored.body ?: return refuse(call, reply.request, unkept, span)
+        val body = stored.body ?: return refuse(call, reply.request, answerNotStored, span)
         call.response.header(REPEATED_HEADER, "true")
-        call.describe(reply.request, stored.version.toString())
-        call.respondBytes(body, stored.type(), HttpStatusCode.fromValue(stored.status))
+        call.addAnswerHeaders(reply.request, stored.version.toString())
+        call.respondBytes(body, stored.parsedContentType(), HttpStatusCode.fromValue(stored.status))
         return null
     }
 
-    private fun StoredAnswer.type(): ContentType? = contentType?.let(ContentType::parse)
+    private fun StoredAnswer.parsedContentType(): ContentType? = contentType?.let(ContentType::parse)
 
-    private fun ApplicationCall.describe(
+    private fun ApplicationCall.addAnswerHeaders(
         id: RequestId,
         version: String,
     ) {
@@ -125,38 +125,38 @@
         ) {
             return stream(call, reply)
         }
-        val whole =
+        val result =
             scope
-                .async { collected(answer).mapBoth({ finished(reply, it) }, { it }) }
+                .async { collect(answer).mapBoth({ completed(reply, it) }, { it }) }
                 .await()
-        if (whole is Failure) return refuse(call, reply.request, whole, span)
-        respond(call, reply, whole as CollectedAnswer)
+        if (result is Failure) return refuse(call, reply.request, result, span)
+        respond(call, reply, result as CollectedAnswer)
         return null
     }
 
-    private suspend fun finished(
+    private suspend fun completed(
         reply: Reply.Answered,
-        whole: CollectedAnswer,
+        answer: CollectedAnswer,
     ): CollectedAnswer {
-        reply.finish.complete(whole, whole.body)
-        return whole
+        reply.completion.complete(answer, answer.body)
+        return answer
     }
 
     private suspend fun respond(
         call: ApplicationCall,
         reply: Reply.Answered,
-        whole: CollectedAnswer,
+        answer: CollectedAnswer,
     ) {
-        call.describeAnswer(reply)
-        val type = whole.head.contentType?.let(ContentType::parse)
-        call.respondBytes(whole.body, type, HttpStatusCode.fromValue(whole.head.status))
+        call.addUpstreamHeaders(reply)
+        val type = answer.head.contentType?.let(ContentType::parse)
+        call.respondBytes(answer.body, type, HttpStatusCode.fromValue(answer.head.status))
     }
 
-    private fun ApplicationCall.describeAnswer(reply: Reply.Answered) {
-        describe(reply.request, reply.answer.version.toString())
+    private fun ApplicationCall.addUpstreamHeaders(reply: Reply.Answered) {
+        addAnswerHeaders(reply.request, reply.answer.version.toString())
         response.header(UPSTREAM_HEADER, reply.answer.announcement.upstream.value)
         reply.answer.head.headers
-            .filterNot { it.name.lowercase() in ownHeaders }
+            .filterNot { it.name.lowercase() in excludedHeaders }
             .forEach { response.header(it.name, it.value) }
     }
 
@@ -164,7 +164,7 @@
         call: ApplicationCall,
         reply: Reply.Answered,
     ): Failure? {
-        call.describeAnswer(reply)
+        call.addUpstreamHeaders(reply)
         val type =
             reply.answer.head.contentType
                 ?.let(ContentType::parse)
@@ -179,49 +179,49 @@
         reply: Reply.Answered,
         out: ByteWriteChannel,
     ): Failure? {
-        val kept = ByteArrayOutputStream()
-        val pace = Pace(reply.route)
+        val storedBody = ByteArrayOutputStream()
+        val gapTimer = ChunkGapTimer(reply.route)
         val copying = currentCoroutineContext().job
-        reply.answer.onOverrun { copying.cancel(CancellationException("the caller read too slowly")) }
+        reply.answer.onMemoryExceeded { copying.cancel(CancellationException("the caller reads too slowly")) }
         try {
             while (true) {
-                val part = reply.answer.next().getOrElse { return fail(reply, it, out) } ?: break
-                out.writeByteArray(part.bytes)
+                val chunk = reply.answer.next().getOrElse { return endWithError(reply, it, out) } ?: break
+                out.writeByteArray(chunk.bytes)
                 out.flush()
-                if (kept.size() <= MAX_STORED_ANSWER_BYTES) kept.write(part.bytes)
-                reply.answer.consumed(part)
-                pace.chunk()
+                if (storedBody.size() <= MAX_STORED_ANSWER_BYTES) storedBody.write(chunk.bytes)
+                reply.answer.release(chunk)
+                gapTimer.onChunk()
             }
-        } catch (gone: IOException) {
+        } catch (disconnected: IOException) {
             reply.answer.cancel()
-            throw gone
+            throw disconnected
         } catch (cancelled: CancellationException) {
             withContext(NonCancellable) { reply.answer.cancel() }
             throw cancelled
         }
-        withContext(NonCancellable) { reply.finish.complete(reply.answer, kept.toByteArray()) }
+        withContext(NonCancellable) { reply.completion.complete(reply.answer, storedBody.toByteArray()) }
         return null
     }
 
-    /** Ends a stream that cannot be completed by an event that says so; the closing event is left out. */
-    private suspend fun fail(
+    /** Ends an incomplete stream with an error event, and without the closing event of a complete one. */
+    private suspend fun endWithError(
         reply: Reply.Answered,
         failure: Failure,
         out: ByteWriteChannel,
     ): Failure {
-        logger.error(reply.request) { "stream ended early: ${failure.detail}" }
+        logger.error(reply.request) { "answer stream ended before completion: ${failure.detail}" }
         out.writeByteArray("data: ${errorBody(reply.request, failure)}\n\n".encodeToByteArray())
         out.flush()
         return failure
     }
 
-    /** Measures the time between the parts of one stream. */
-    private inner class Pace(
+    /** Measures the time between the chunks of one stream. */
+    private inner class ChunkGapTimer(
         private val route: String,
     ) {
         private var lastNanos = nanoTime()
 
-        fun chunk() {
+        fun onChunk() {
             val nowNanos = nanoTime()
             metrics.chunkGap(route, nowNanos - lastNanos)
             lastNanos = nowNanos
--- a/entry/src/main/kotlin/io/carawaytrack/entry/Finish.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/RequestCompletion.kt
@@ -1,5 +1,5 @@
 /*
- * The end of a request: one outcome and one bill in the ledger, however many attempts it took.
+ * Completion of a request: records one outcome and one bill in the ledger, however many attempts were made.
  */
 package io.carawaytrack.entry
 
@@ -14,46 +14,46 @@
 import io.carawaytrack.telemetry.EntryMetrics
 
 private const val TOKENS_PER_KILO_TOKEN = 1_000.0
-private const val LOWEST_ERROR_STATUS = 400
+private const val MIN_ERROR_STATUS = 400
 
-internal class Finish(
+internal class RequestCompletion(
     private val request: CallerRequest,
     private val ledger: LedgerClient,
     private val planner: Planner,
     private val metrics: EntryMetrics,
     private val wallClockMillis: () -> Long,
     private val nowMillis: () -> Long,
-    private val onTaken: (answer: Answer, body: ByteArray, escalated: Boolean) -> Unit,
+    private val onAccepted: (answer: Answer, body: ByteArray, escalated: Boolean) -> Unit,
 ) {
     private val discarded = mutableListOf<Answer>()
     private val startedAtMillis = nowMillis()
 
-    /** Whether any attempt of the request has run so far; a refusal of the whole may not say less. */
+    /** Strongest execution state of all attempts so far; a refusal of the request must not report a weaker one. */
     var execution: Execution = Execution.NotRun
         private set
 
-    fun failed(failure: Failure) {
+    fun recordFailure(failure: Failure) {
         execution = maxOf(execution, failure.execution)
     }
 
-    /** Notes an answer that was not taken; from now on this entry alone answers for the outcome of the request. */
+    /** Records an answer that was not accepted; from here on only this entry is responsible for the outcome. */
     suspend fun discard(answer: Answer) {
         discarded += answer
         execution = Execution.Ran
-        answer.settled()
+        answer.notifySettled()
     }
 
-    /** Records [answer] with its [body]; for a request with a key, waits until a resend would find it. */
+    /** Records [answer] with its [body]; with an idempotency key, waits until the outcome is committed for resends. */
     suspend fun complete(
         answer: Answer,
         body: ByteArray?,
     ) {
         observe(answer)
-        if (body != null) onTaken(answer, body, discarded.isNotEmpty())
+        if (body != null) onAccepted(answer, body, discarded.isNotEmpty())
         val command = command(answer, body)
         command.bill?.let { metrics.billed(request.route.name, it) }
-        if (request.idempotencyKey == null) return ledger.finishLater(command) { answer.settled() }
-        if (ledger.finish(command)) answer.settled()
+        if (request.idempotencyKey == null) return ledger.finishInBackground(command) { answer.notifySettled() }
+        if (ledger.finish(command)) answer.notifySettled()
     }
 
     private fun observe(answer: Answer) {
@@ -68,12 +68,12 @@
     ): LedgerCommand.Finish = LedgerCommand.Finish(
         organisation = request.organisation.name,
         request = request.id,
-        answer = if (request.idempotencyKey == null) null else stored(answer, body),
-        bill = if (answer.head.status >= LOWEST_ERROR_STATUS) null else bill(discarded + answer),
+        answer = if (request.idempotencyKey == null) null else storedAnswer(answer, body),
+        bill = if (answer.head.status >= MIN_ERROR_STATUS) null else bill(discarded + answer),
         atMillis = wallClockMillis(),
     )
 
-    private fun stored(
+    private fun storedAnswer(
         answer: Answer,
         body: ByteArray?,
     ) = StoredAnswer(
--- a/entry/src/main/kotlin/io/carawaytrack/entry/RequestHandler.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/RequestHandler.kt
@@ -1,6 +1,6 @@
 /*
- * Takes a request from its intent to its answer: records the intent where a resend could be told apart, plans, runs the
- * steps of the plan, and records the outcome with one bill.
+ * Handles a request from planning to its reply: records an intent in the ledger where a resend can be recognised, runs
+ * the steps of the plan, and leaves one outcome and one bill.
  */
 package io.carawaytrack.entry
 
@@ -26,21 +26,22 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.launch
 
-private const val PLANS_PER_REQUEST = 3
+private const val MAX_PLANS_PER_REQUEST = 3
 
-/** What the caller gets. */
+/** Reply to a caller. */
 internal sealed interface Reply {
-    /** Identity under which the request is recorded. */
+    /** Id under which the request is recorded. */
     val request: RequestId
 
-    /** [full] names a version without room, when another one may still serve the request. */
+    /** [exhaustedVersion] is the version whose pool is exhausted, set when another version may serve the request. */
     class Refused(
         override val request: RequestId,
         val failure: Failure,
-        val full: ModelVersion? = null,
+        val exhaustedVersion: ModelVersion? = null,
     ) : Reply
 
-    class Repeated(
+    /** The stored answer of an earlier request with the same idempotency key. */
+    class Replayed(
         override val request: RequestId,
         val answer: StoredAnswer,
     ) : Reply
@@ -49,11 +50,11 @@
         override val request: RequestId,
         val route: String,
         val answer: Answer,
-        val finish: Finish,
+        val completion: RequestCompletion,
     ) : Reply
 }
 
-/** Rates an answer from 0 to 1; null when no rating comes in time. */
+/** Rates an answer from 0 to 1; null when no rating arrives in time. */
 internal typealias RateAnswer = suspend (request: RequestId, version: ModelVersion, answer: ByteArray) -> Double?
 
 internal class RequestHandler(
@@ -61,7 +62,7 @@
     private val planner: Planner,
     private val dispatcher: Dispatcher,
     private val ledger: LedgerClient,
-    private val pins: SessionPins,
+    private val sessionVersions: SessionVersionCache,
     private val configuration: () -> Configuration,
     private val wallClockMillis: () -> Long,
     private val nowMillis: () -> Long,
@@ -69,59 +70,59 @@
     private val rate: RateAnswer,
 ) {
     suspend fun handle(request: CallerRequest): Reply {
-        val full = HashSet<ModelVersion>()
-        var refused =
+        val exhaustedVersions = HashSet<ModelVersion>()
+        var lastRefusal =
             Reply.Refused(
                 request.id,
-                ErrorKind.NoHealthyUpstream.notRun("the planned versions were withdrawn"),
+                ErrorKind.NoHealthyUpstream.notRun("the version of each of $MAX_PLANS_PER_REQUEST plans was withdrawn"),
             )
-        repeat(PLANS_PER_REQUEST) {
-            val reply = tryOnce(request, full)
-            if (reply != null && (reply !is Reply.Refused || reply.full == null)) return reply
+        repeat(MAX_PLANS_PER_REQUEST) {
+            val reply = planAndRun(request, exhaustedVersions)
+            if (reply != null && (reply !is Reply.Refused || reply.exhaustedVersion == null)) return reply
             if (reply is Reply.Refused) {
-                refused = reply
-                reply.full?.let(full::add)
+                lastRefusal = reply
+                reply.exhaustedVersion?.let(exhaustedVersions::add)
             }
         }
-        return refused
+        return lastRefusal
     }
 
-    /** Returns null when the planned version was withdrawn between the plan and the intent. */
-    private suspend fun tryOnce(
+    /** Returns null when the planned version was withdrawn before the intent was recorded. */
+    private suspend fun planAndRun(
         request: CallerRequest,
-        full: Set<ModelVersion>,
+        exhaustedVersions: Set<ModelVersion>,
     ): Reply? {
-        val pin = pins.of(request)
-        val plan = plan(request, pin, full).getOrElse { return Reply.Refused(request.id, it) }
-        if (!needsIntent(request, pin)) return run(request, plan, pin != null, begun = false)
+        val pinned = sessionVersions.find(request)
+        val plan = plan(request, pinned, exhaustedVersions).getOrElse { return Reply.Refused(request.id, it) }
+        if (!needsIntent(request, pinned)) return run(request, plan, pinned != null, intentRecorded = false)
         val reply = begin(request, plan).getOrElse { return Reply.Refused(request.id, it) }
         return when (reply) {
-            is LedgerReply.Started -> start(request, plan, reply)
-            is LedgerReply.Repeated -> Reply.Repeated(reply.request, reply.answer)
-            is LedgerReply.VersionGone -> pin?.let { Reply.Refused(request.id, sessionGone(it)) }
-            else -> Reply.Refused(request.id, refusal(reply))
+            is LedgerReply.Started -> runStarted(request, plan, reply)
+            is LedgerReply.Repeated -> Reply.Replayed(reply.request, reply.answer)
+            is LedgerReply.VersionGone -> pinned?.let { Reply.Refused(request.id, sessionVersionWithdrawn(it)) }
+            else -> Reply.Refused(request.id, intentFailure(reply))
         }
     }
 
-    // Without a key a resend cannot be told from a new request, so an intent would guard nothing.
+    // Without an idempotency key a resend looks like a new request, so an intent would protect nothing.
     private fun needsIntent(
         request: CallerRequest,
-        pin: ModelVersion?,
-    ) = request.idempotencyKey != null || (request.session != null && pin == null)
+        pinned: ModelVersion?,
+    ) = request.idempotencyKey != null || (request.session != null && pinned == null)
 
     private fun plan(
         request: CallerRequest,
-        pin: ModelVersion?,
-        full: Set<ModelVersion>,
+        pinned: ModelVersion?,
+        exhaustedVersions: Set<ModelVersion>,
     ): Result<Plan, Failure> = planner.plan(
         configuration(),
         PlanRequest(
             organisation = request.organisation,
             route = request.route,
-            pinned = pin,
+            pinned = pinned,
             estimatedTokens = request.estimatedTokens,
-            oneVersion = (request.session != null && pin == null) || request.streamed,
-            full = full,
+            oneVersion = (request.session != null && pinned == null) || request.streamed,
+            full = exhaustedVersions,
         ),
     )
 
@@ -142,85 +143,100 @@
         ),
     )
 
-    private suspend fun start(
+    private suspend fun runStarted(
         request: CallerRequest,
         plan: Plan,
         started: LedgerReply.Started,
     ): Reply {
-        if (request.session != null) pins.keep(request, started.version)
-        val single = started.pinned || started.version != plan.steps.last().version
-        val steps = if (single) Plan(listOf(PlanStep(started.version))) else plan
-        return run(request.withId(started.request), steps, started.pinned, begun = true)
+        if (request.session != null) sessionVersions.put(request, started.version)
+        val singleStep = started.pinned || started.version != plan.steps.last().version
+        val steps = if (singleStep) Plan(listOf(PlanStep(started.version))) else plan
+        return run(request.withId(started.request), steps, started.pinned, intentRecorded = true)
     }
 
-    private fun refusal(reply: LedgerReply): Failure = when (reply) {
+    private fun intentFailure(reply: LedgerReply): Failure = when (reply) {
         is LedgerReply.InProgress -> Failure(ErrorKind.InProgress, Execution.MayHaveRun)
         is LedgerReply.Unknown -> Failure(ErrorKind.OutcomeUnknown, Execution.MayHaveRun)
         is LedgerReply.Conflicting -> ErrorKind.ConflictingReuse.notRun()
-        else -> ErrorKind.Internal.notRun("expected a reply to an intent")
+        else -> ErrorKind.Internal.notRun("unexpected ledger reply to Begin: ${reply::class.simpleName}")
     }
 
-    private fun sessionGone(pin: ModelVersion) = ErrorKind.SessionVersionWithdrawn.notRun("$pin may not run any more")
+    private fun sessionVersionWithdrawn(version: ModelVersion) =
+        ErrorKind.SessionVersionWithdrawn.notRun("$version, the version of this session, has been withdrawn")
 
     private suspend fun run(
         request: CallerRequest,
         plan: Plan,
         pinned: Boolean,
-        begun: Boolean,
+        intentRecorded: Boolean,
     ): Reply {
         val last = plan.steps.last()
-        val finish = Finish(request, ledger, planner, metrics, wallClockMillis, nowMillis, rateLater(request, last))
+        val completion =
+            RequestCompletion(
+                request,
+                ledger,
+                planner,
+                metrics,
+                wallClockMillis,
+                nowMillis,
+                rateInBackground(request, last),
+            )
         plan.steps.dropLast(1).forEach { step ->
-            trial(request, step, pinned, finish)?.let { return it }
+            runRatedStep(request, step, pinned, completion)?.let { return it }
         }
         val answer =
             dispatcher.open(request, last.version, pinned).getOrElse { failure ->
-                failed(request, last.version, failure, finish)
-                return refused(request, last.version, failure.copy(execution = finish.execution), begun || pinned)
+                recordFailure(request, last.version, failure, completion)
+                return refuse(
+                    request,
+                    last.version,
+                    failure.copy(execution = completion.execution),
+                    intentRecorded || pinned,
+                )
             }
-        return Reply.Answered(request.id, request.route.name, answer, finish)
+        return Reply.Answered(request.id, request.route.name, answer, completion)
     }
 
-    /** Runs a step of a cascade whose answer must be rated; returns null when the next step is to run. */
-    private suspend fun trial(
+    /** Runs a step whose answer must be rated before it is accepted; returns null when the cascade must escalate. */
+    private suspend fun runRatedStep(
         request: CallerRequest,
         step: PlanStep,
         pinned: Boolean,
-        finish: Finish,
+        completion: RequestCompletion,
     ): Reply? {
-        val whole =
-            dispatcher.open(request, step.version, pinned).andThen { collected(it) }.getOrElse { failure ->
-                failed(request, step.version, failure, finish)
+        val answer =
+            dispatcher.open(request, step.version, pinned).andThen { collect(it) }.getOrElse { failure ->
+                recordFailure(request, step.version, failure, completion)
                 return null
             }
-        if (taken(request, whole, step)) return Reply.Answered(request.id, request.route.name, whole, finish)
-        finish.discard(whole)
+        if (accepted(request, answer, step)) return Reply.Answered(request.id, request.route.name, answer, completion)
+        completion.discard(answer)
         metrics.escalated(request.route.name, step.version)
         return null
     }
 
-    private fun failed(
+    private fun recordFailure(
         request: CallerRequest,
         version: ModelVersion,
         failure: Failure,
-        finish: Finish,
+        completion: RequestCompletion,
     ) {
-        finish.failed(failure)
-        // A refusal for want of room tells nothing about the version.
+        completion.recordFailure(failure)
+        // An attempt that was refused without running says nothing about the version's quality or latency.
         if (failure.execution == Execution.NotRun) return
         planner.observe(request.route.name, version, Observation.Failed)
     }
 
-    private suspend fun taken(
+    private suspend fun accepted(
         request: CallerRequest,
         answer: CollectedAnswer,
         step: PlanStep,
     ): Boolean {
-        val rating = rated(request, answer.version, answer.body, escalated = false) ?: return false
+        val rating = rateAndRecord(request, answer.version, answer.body, escalated = false) ?: return false
         return rating >= (step.acceptRating ?: 0.0)
     }
 
-    private suspend fun rated(
+    private suspend fun rateAndRecord(
         request: CallerRequest,
         version: ModelVersion,
         answer: ByteArray,
@@ -232,23 +248,23 @@
         return rating
     }
 
-    /** Asks for the rating of a taken answer where the plan wants one; nobody waits for it. */
-    private fun rateLater(
+    /** Returns a callback that rates an accepted answer in the background where [step] asks for it. */
+    private fun rateInBackground(
         request: CallerRequest,
         step: PlanStep,
     ): (Answer, ByteArray, Boolean) -> Unit = { answer, body, escalated ->
-        if (step.rateAnswer) scope.launch { rated(request, answer.version, body, escalated) }
+        if (step.rateAnswer) scope.launch { rateAndRecord(request, answer.version, body, escalated) }
     }
 
-    private suspend fun refused(
+    private suspend fun refuse(
         request: CallerRequest,
         version: ModelVersion,
         failure: Failure,
-        bound: Boolean,
+        versionFixed: Boolean,
     ): Reply {
         if (failure.execution != Execution.NotRun) return Reply.Refused(request.id, failure)
-        if (bound) ledger.finish(LedgerCommand.Abandon(request.organisation.name, request.id))
-        val full = version.takeIf { !bound && failure.kind == ErrorKind.PoolExhausted }
-        return Reply.Refused(request.id, failure, full)
+        if (versionFixed) ledger.finish(LedgerCommand.Abandon(request.organisation.name, request.id))
+        val exhaustedVersion = version.takeIf { !versionFixed && failure.kind == ErrorKind.PoolExhausted }
+        return Reply.Refused(request.id, failure, exhaustedVersion)
     }
 }
--- a/entry/src/main/kotlin/io/carawaytrack/entry/RequestReader.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/RequestReader.kt
@@ -1,5 +1,5 @@
 /*
- * Reads and checks a caller's request: who sends it, which route takes it, and whether the body is what it should be.
+ * Reads and validates a caller's request: authenticates the organisation, finds the route and checks the body.
  */
 package io.carawaytrack.entry
 
@@ -33,24 +33,24 @@
 internal const val IDEMPOTENCY_HEADER = "Idempotency-Key"
 internal const val TRACE_HEADER = "traceparent"
 
-private const val LONGEST_NAME_CHARACTERS = 200
+private const val MAX_KEY_CHARACTERS = 200
 
 private class Caller(
     val organisation: Organisation,
     val routes: List<Route>,
 )
 
-private class RequestNames(
+private class RequestKeys(
     val session: String?,
     val idempotencyKey: String?,
 )
 
 internal class RequestReader(
-    private val tables: RouteTables,
+    private val tables: RouteTableCache,
     private val settings: EntrySettings,
     private val nowMillis: () -> Long,
 ) {
-    /** Reads [call] as the request [id]; every failure says `NotRun`. */
+    /** Reads [call] as the request [id]. Every failure is `NotRun`, since nothing has been dispatched yet. */
     suspend fun read(
         call: ApplicationCall,
         id: RequestId,
@@ -58,7 +58,7 @@
     ): Result<CallerRequest, Failure> {
         val table = tables.current()
         val caller = caller(table, call).getOrElse { return Err(it) }
-        val names = names(call).getOrElse { return Err(it) }
+        val keys = requestKeys(call).getOrElse { return Err(it) }
         val body = body(call).getOrElse { return Err(it) }
         val chat = chat(caller.routes, body).getOrElse { return Err(it) }
         val route = route(table, caller.routes, chat).getOrElse { return Err(it) }
@@ -75,8 +75,8 @@
                         .map { (name, value) -> Header(name, value) },
                 body = body,
                 chat = chat,
-                session = names.session?.let(::SessionId),
-                idempotencyKey = names.idempotencyKey,
+                session = keys.session?.let(::SessionId),
+                idempotencyKey = keys.idempotencyKey,
                 traceparent = traceparent,
                 deadlineMillis = nowMillis() + route.timeoutMillis,
             ),
@@ -94,15 +94,15 @@
             .map { Caller(organisation, it) }
     }
 
-    private fun names(call: ApplicationCall): Result<RequestNames, Failure> {
-        val session = call.named(SESSION_HEADER).getOrElse { return Err(it) }
-        return call.named(IDEMPOTENCY_HEADER).map { RequestNames(session, it) }
+    private fun requestKeys(call: ApplicationCall): Result<RequestKeys, Failure> {
+        val session = call.keyHeader(SESSION_HEADER).getOrElse { return Err(it) }
+        return call.keyHeader(IDEMPOTENCY_HEADER).map { RequestKeys(session, it) }
     }
 
-    private fun ApplicationCall.named(header: String): Result<String?, Failure> {
+    private fun ApplicationCall.keyHeader(header: String): Result<String?, Failure> {
         val value = request.headers[header] ?: return Ok(null)
-        if (value.isNotBlank() && value.length <= LONGEST_NAME_CHARACTERS) return Ok(value)
-        val detail = "expected $header of 1 to $LONGEST_NAME_CHARACTERS characters, got ${value.length}"
+        if (value.isNotBlank() && value.length <= MAX_KEY_CHARACTERS) return Ok(value)
+        val detail = "expected $header of 1 to $MAX_KEY_CHARACTERS characters, got ${value.length}"
         return Err(ErrorKind.MalformedRequest.notRun(detail))
     }
 
@@ -111,14 +111,16 @@
         val declared = call.request.headers[HttpHeaders.ContentLength]?.toLongOrNull() ?: 0
         if (declared > limit) return Err(tooLarge(limit))
         val body =
-            withTimeoutOrNull(settings.receiveMillis) {
+            withTimeoutOrNull(settings.receiveTimeoutMillis) {
                 call.receiveChannel().readRemaining(limit + 1L).readByteArray()
-            } ?: return Err(ErrorKind.RequestTimeout.notRun("expected the body within ${settings.receiveMillis} ms"))
+            } ?: return Err(
+                ErrorKind.RequestTimeout.notRun("body incomplete after ${settings.receiveTimeoutMillis} ms"),
+            )
         if (body.size > limit) return Err(tooLarge(limit))
         return Ok(body)
     }
 
-    private fun tooLarge(limit: Int) = ErrorKind.BodyTooLarge.notRun("expected a body of at most $limit bytes")
+    private fun tooLarge(limit: Int) = ErrorKind.BodyTooLarge.notRun("expected a request body of at most $limit bytes")
 
     private fun chat(
         routes: List<Route>,
--- a/entry/src/main/kotlin/io/carawaytrack/entry/RouteTable.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/RouteTable.kt
@@ -1,6 +1,6 @@
 /*
- * Finds the organisation and the route of a request in the tables in force. An index is made once for each
- * configuration, so that a request costs two look-ups.
+ * Resolves the organisation and the routes of a request from the tables in force. The index is built once per
+ * configuration, so that a request needs only two lookups.
  */
 package io.carawaytrack.entry
 
@@ -17,8 +17,8 @@
 import java.security.MessageDigest
 import java.util.concurrent.atomic.AtomicReference
 
-private const val BEARER = "Bearer "
-private const val ANY = "*"
+private const val BEARER_PREFIX = "Bearer "
+private const val WILDCARD = "*"
 
 internal class RouteTable(
     private val configuration: Configuration,
@@ -32,27 +32,30 @@
 
     val number: Long get() = configuration.number
 
-    /** Finds the organisation of a bearer key; only digests are compared, so that timing tells nothing about a key. */
+    /**
+     * Returns the organisation that owns a bearer key. Only digests are compared, so that response times reveal nothing
+     * about the keys.
+     */
     fun organisation(authorization: String?): Result<Organisation, Failure> {
-        if (authorization == null || !authorization.startsWith(BEARER)) return Err(ErrorKind.MissingKey.notRun())
-        val key = authorization.removePrefix(BEARER).trim()
+        if (authorization == null || !authorization.startsWith(BEARER_PREFIX)) return Err(ErrorKind.MissingKey.notRun())
+        val key = authorization.removePrefix(BEARER_PREFIX).trim()
         val digest = MessageDigest.getInstance("SHA-256").digest(key.encodeToByteArray())
         val organisation = organisationByDigest[digest.toHexString()] ?: return Err(ErrorKind.UnknownKey.notRun())
         return Ok(organisation)
     }
 
-    /** Lists the routes that take [method] and [path] for [organisation], the longest prefix first. */
+    /** Returns the routes that match [method] and [path] for [organisation], longest path prefix first. */
     fun routes(
         organisation: Organisation,
         method: String,
         path: String,
     ): Result<List<Route>, Failure> {
-        val found = routes.filter { it.takes(organisation, method, path) }
-        if (found.isEmpty()) return Err(ErrorKind.UnknownRoute.notRun("no route takes $method $path"))
-        return Ok(found)
+        val matching = routes.filter { it.matches(organisation, method, path) }
+        if (matching.isEmpty()) return Err(ErrorKind.UnknownRoute.notRun("no route matches $method $path"))
+        return Ok(matching)
     }
 
-    /** Picks the route of a chat request by its model. */
+    /** Returns the first of [candidates] that serves [model]. */
     fun modelRoute(
         candidates: List<Route>,
         model: String,
@@ -62,26 +65,26 @@
         return Ok(route)
     }
 
-    private fun Route.takes(
+    private fun Route.matches(
         organisation: Organisation,
         method: String,
         path: String,
     ): Boolean {
-        val open = ANY in organisations || organisation.name.value in organisations
-        return open && (ANY in methods || method in methods) && path.startsWith(pathPrefix)
+        val organisationAllowed = WILDCARD in organisations || organisation.name.value in organisations
+        return organisationAllowed && (WILDCARD in methods || method in methods) && path.startsWith(pathPrefix)
     }
 }
 
-/** Keeps the index of the configuration in force. */
-internal class RouteTables(
+/** Caches the [RouteTable] of the configuration in force. */
+internal class RouteTableCache(
     private val configuration: () -> Configuration,
 ) {
     private val cached = AtomicReference(RouteTable(Configuration()))
 
     fun current(): RouteTable {
         val inForce = configuration()
-        val held = cached.get()
-        if (held.number == inForce.number) return held
+        val table = cached.get()
+        if (table.number == inForce.number) return table
         return RouteTable(inForce).also(cached::set)
     }
 }
--- a/entry/src/main/kotlin/io/carawaytrack/entry/SessionPins.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/SessionVersionCache.kt
@@ -1,6 +1,6 @@
 /*
- * Remembers the versions of recent sessions, which the ledger has fixed for good, so that only the first request of a
- * session that an entry sees asks the ledger. The oldest are forgotten first.
+ * Caches the model versions of recent sessions. The ledger never changes the version of a session, so only the first
+ * request of a session at this entry consults the ledger. Evicts the least recently used sessions.
  */
 package io.carawaytrack.entry
 
@@ -11,27 +11,27 @@
 import kotlin.concurrent.withLock
 
 private const val SHARDS = 16
-private const val PINS_PER_SHARD = 4_096
+private const val SESSIONS_PER_SHARD = 4_096
 
 private data class SessionKey(
     val organisation: OrganisationName,
     val session: SessionId,
 )
 
-internal class SessionPins {
-    private val shards = List(SHARDS) { PinShard() }
+internal class SessionVersionCache {
+    private val shards = List(SHARDS) { CacheShard() }
 
-    fun of(request: CallerRequest): ModelVersion? {
+    fun find(request: CallerRequest): ModelVersion? {
         val key = request.sessionKey() ?: return null
-        return shardOf(key).of(key)
+        return shardOf(key).find(key)
     }
 
-    fun keep(
+    fun put(
         request: CallerRequest,
         version: ModelVersion,
     ) {
         val key = request.sessionKey() ?: return
-        shardOf(key).keep(key, version)
+        shardOf(key).put(key, version)
     }
 
     private fun shardOf(key: SessionKey) = shards[Math.floorMod(key.hashCode(), SHARDS)]
@@ -39,19 +39,19 @@
     private fun CallerRequest.sessionKey() = session?.let { SessionKey(organisation.name, it) }
 }
 
-private class PinShard {
+private class CacheShard {
     private val lock = ReentrantLock()
-    private val pins =
+    private val versions =
         object : LinkedHashMap<SessionKey, ModelVersion>(INITIAL_CAPACITY, LOAD_FACTOR, true) {
-            override fun removeEldestEntry(eldest: Map.Entry<SessionKey, ModelVersion>) = size > PINS_PER_SHARD
+            override fun removeEldestEntry(eldest: Map.Entry<SessionKey, ModelVersion>) = size > SESSIONS_PER_SHARD
         }
 
-    fun of(key: SessionKey): ModelVersion? = lock.withLock { pins[key] }
+    fun find(key: SessionKey): ModelVersion? = lock.withLock { versions[key] }
 
-    fun keep(
+    fun put(
         key: SessionKey,
         version: ModelVersion,
-    ): Unit = lock.withLock { pins[key] = version }
+    ): Unit = lock.withLock { versions[key] = version }
 
     private companion object {
         const val INITIAL_CAPACITY = 64
--- a/entry/src/test/kotlin/io/carawaytrack/entry/BadInputTest.kt
+++ b/entry/src/test/kotlin/io/carawaytrack/entry/BadInputTest.kt
@@ -1,5 +1,5 @@
 /*
- * Input that no route or engine should see: keys, paths, models and chat bodies, as tables of what is refused and how.
+ * Invalid input that must not reach a route or an upstream: keys, paths, models and chat bodies.
  */
 package io.carawaytrack.entry
 
@@ -74,12 +74,12 @@
             Case("an unknown model", ErrorKind.UnknownModel) { table.modelRoute(listOf(drafts, stock), "pen") },
             chat("a chat", null, """{"model":"draft","messages":[]}"""),
             chat("malformed JSON", ErrorKind.MalformedRequest, """{"model":"draft","messages":[}"""),
-            chat("nothing", ErrorKind.MalformedRequest, ""),
-            chat("a list", ErrorKind.MalformedRequest, "[]"),
+            chat("an empty body", ErrorKind.MalformedRequest, ""),
+            chat("an array", ErrorKind.MalformedRequest, "[]"),
             chat("no model", ErrorKind.MalformedRequest, """{"messages":[]}"""),
-            chat("a model that is no text", ErrorKind.MalformedRequest, """{"model":{},"messages":[]}"""),
+            chat("a model that is not a string", ErrorKind.MalformedRequest, """{"model":{},"messages":[]}"""),
             chat("no messages", ErrorKind.MalformedRequest, """{"model":"draft"}"""),
-            chat("messages that are no list", ErrorKind.MalformedRequest, """{"model":"draft","messages":"x"}"""),
+            chat("messages that are not an array", ErrorKind.MalformedRequest, """{"model":"draft","messages":"x"}"""),
         )
 
     private fun chat(
@@ -89,7 +89,7 @@
     ) = Case(name, kind) { ChatBody.parse(body.encodeToByteArray()) }
 
     @TestFactory
-    fun `input that fits no route is refused as not run`(): List<DynamicTest> = cases.map { case ->
+    fun `invalid input is refused as not run`(): List<DynamicTest> = cases.map { case ->
         dynamicTest(case.name) {
             val failure = case.outcome().getError()
             expectThat(failure?.kind).isEqualTo(case.kind)
@@ -98,7 +98,7 @@
     }
 
     @Test
-    fun `a chat body of random bytes is refused and never ends in an exception`() {
+    fun `a corrupted or random chat body is handled without an exception`() {
         val valid = """{"model":"draft","messages":[{"role":"user","content":"a letter"}]}""".encodeToByteArray()
         repeat(SEEDS) { seed ->
             val random = Random(seed)
@@ -116,7 +116,7 @@
     }
 
     @Test
-    fun `only the model of a chat is changed on its way to an engine`() {
+    fun `only the model of a chat body is changed for the upstream`() {
         val chat = ChatBody.parse("""{"model":"draft","messages":["é"],"n":1.50}""".encodeToByteArray()).get()!!
         expectThat(chat.forVersion(ModelVersion("pen", "1")).decodeToString())
             .isEqualTo("""{"model":"pen","messages":["é"],"n":1.50}""")
--- a/entry/src/test/kotlin/io/carawaytrack/entry/DispatchTest.kt
+++ b/entry/src/test/kotlin/io/carawaytrack/entry/DispatchTest.kt
@@ -1,6 +1,6 @@
 /*
- * What an entry makes of the messages of its agents, with agents that the test plays and virtual time: where a request
- * may go next, and what the caller is told.
+ * How an entry handles the messages of its agents: whether it retries a request on another upstream, and which answer
+ * or failure the caller receives. The agents are scripted and time is virtual.
  */
 package io.carawaytrack.entry
 
@@ -76,29 +76,29 @@
     )
 private val mayHaveRun = Failure(ErrorKind.UpstreamFailed, Execution.MayHaveRun)
 
-/** What an agent sends on receiving an order; null cuts its link. */
+/** Messages that an agent sends in reply to an attempt; null closes its link. */
 private typealias Script = (OpenAttempt) -> List<Message?>
 
-private val silent: Script = { emptyList() }
-private val cut: Script = { listOf(null) }
+private val neverReplies: Script = { emptyList() }
+private val closesLink: Script = { listOf(null) }
 private val refuses: Script = { listOf(AttemptRefused(it.attempt, ErrorKind.StaleConfiguration.notRun(), load)) }
 private val fails: Script = { listOf(AnswerFailed(it.attempt, mayHaveRun, load)) }
 private val answers: Script = { listOf(head(it), chunk(it, 0), end(it, 1)) }
 
-private fun head(order: OpenAttempt) = AnswerHead(order.attempt, 200, emptyList())
+private fun head(request: OpenAttempt) = AnswerHead(request.attempt, 200, emptyList())
 
 private fun chunk(
-    order: OpenAttempt,
+    request: OpenAttempt,
     sequence: Long,
-    attempt: Long = order.attempt,
+    attempt: Long = request.attempt,
 ) = AnswerChunk(attempt, sequence, "$sequence".encodeToByteArray())
 
 private fun end(
-    order: OpenAttempt,
+    request: OpenAttempt,
     chunks: Long,
-) = AnswerEnd(order.attempt, chunks, Usage(), load)
+) = AnswerEnd(request.attempt, chunks, Usage(), load)
 
-/** An entry whose agents each play their scripts in turn, one for each order. */
+/** An entry whose agents run their scripts in order, one for each attempt. */
 private class TestEntry(
     scope: TestScope,
     private val agents: CoroutineScope,
@@ -111,7 +111,7 @@
     private val nowMillis = { scope.testScheduler.currentTime }
     private val registry = PrometheusRegistry()
     private val budget = MemoryBudget(MemorySettings(MEMORY_BYTES, streamBytes = MEMORY_BYTES / 2), nowMillis)
-    private val memory = AnswerMemory(budget, MemoryMetrics(registry, MEMORY_BYTES, budget::usedBytes))
+    private val memory = AnswerMemoryLimiter(budget, MemoryMetrics(registry, MEMORY_BYTES, budget::usedBytes))
     private val chooser = UpstreamChooser(ZoneName("z1"), nowMillis, Random(1)).also { it.update(membership()) }
     private val dispatcher =
         Dispatcher(
@@ -124,11 +124,11 @@
             configuration = { configuration },
             nowMillis = nowMillis,
             windowBytes = 1_000,
-            retries = RetryBudget(RetrySettings(leastRetries = 100), nowMillis),
+            retryBudget = RetryBudget(RetrySettings(leastRetries = 100), nowMillis),
             metrics = EntryMetrics(registry),
         )
     private val names get() = scripts.keys.toList()
-    private val unplayed = scripts.mapValues { ArrayDeque(it.value) }
+    private val pendingScripts = scripts.mapValues { ArrayDeque(it.value) }
 
     private fun membership() = Membership(1, true, names.mapIndexed { index, name -> announcement(name, index + 1) })
 
@@ -138,20 +138,20 @@
     ) = Announcement(UpstreamId(name), ZoneName("z1"), "127.0.0.1", port, 1, listOf(stock), load)
 
     private fun connect(name: String): Result<FakeLink, Failure> {
-        val script = unplayed.getValue(name)
-        if (script.isEmpty()) return Err(ErrorKind.ControlUnavailable.notRun("nobody answers"))
+        val script = pendingScripts.getValue(name)
+        if (script.isEmpty()) return Err(ErrorKind.ControlUnavailable.notRun("connection refused"))
         val link = FakeLink(testPeer(name, NodeRole.Agent))
-        agents.launch { play(link, script) }
+        agents.launch { run(link, script) }
         return Ok(link)
     }
 
-    private suspend fun play(
+    private suspend fun run(
         link: FakeLink,
         script: ArrayDeque<Script>,
     ) {
         while (true) {
             val message = link.sent()
-            if (message is CancelAttempt) cancelled(link, message)
+            if (message is CancelAttempt) onCancelAttempt(link, message)
             if (message !is OpenAttempt) continue
             val replies = script.removeFirst()(message)
             if (replies.none { it is AttemptRefused }) runs++
@@ -159,7 +159,7 @@
         }
     }
 
-    private fun cancelled(
+    private fun onCancelAttempt(
         link: FakeLink,
         message: CancelAttempt,
     ) {
@@ -207,22 +207,22 @@
             Case("may have run, repeatable", listOf(fails, answers), 2, execution = null, repeatable = true),
             Case("may have run twice", listOf(fails, fails, answers), 2, Execution.MayHaveRun, repeatable = true),
             Case("may have run, then refusals", listOf(fails, refuses), 1, Execution.MayHaveRun, repeatable = true),
-            Case("a link cut before the head", listOf(cut, answers), 1, Execution.MayHaveRun),
-            Case("a link cut, repeatable", listOf(cut, answers), 2, execution = null, repeatable = true),
-            Case("refusals without end", listOf(refuses), runs = 0, Execution.NotRun),
+            Case("a link closed before the head", listOf(closesLink, answers), 1, Execution.MayHaveRun),
+            Case("a link closed, repeatable", listOf(closesLink, answers), 2, execution = null, repeatable = true),
+            Case("only refusals", listOf(refuses), runs = 0, Execution.NotRun),
             Case("a lapsed lease", listOf(answers), runs = 0, Execution.NotRun, leaseMillis = 0),
-            Case("silence", listOf(silent, answers), runs = 1, Execution.MayHaveRun),
-            Case("no agent that can be reached", emptyList(), runs = 0, Execution.NotRun),
+            Case("no reply", listOf(neverReplies, answers), runs = 1, Execution.MayHaveRun),
+            Case("no reachable agent", emptyList(), runs = 0, Execution.NotRun),
         )
 
     @TestFactory
-    fun `a request goes on only where that is safe, and its end tells whether it may have run`(): List<DynamicTest> =
+    fun `a request is retried only where safe, and its failure states whether it may have run`(): List<DynamicTest> =
         cases.map { case ->
             dynamicTest(case.name) {
                 runTest {
-                    // The scripts are played in the order of the attempts, whichever upstream is chosen.
+                    // All upstreams share the scripts, which run in the order of the attempts.
                     val remaining = ArrayDeque(case.scripts)
-                    val shared: Script = { order -> remaining.removeFirstOrNull()?.invoke(order) ?: refuses(order) }
+                    val shared: Script = { open -> remaining.removeFirstOrNull()?.invoke(open) ?: refuses(open) }
                     val scripts = if (case.scripts.isEmpty()) emptyList() else List(100) { shared }
                     val names = listOf("a", "b", "c").associateWith { scripts }
                     val entry = TestEntry(this, backgroundScope, names, case.leaseMillis)
@@ -234,50 +234,52 @@
         }
 
     @Test
-    fun `a request that times out says not run only when its agent has said so`() {
-        val told = mapOf(Execution.NotRun to Execution.NotRun, null to Execution.MayHaveRun)
-        told.forEach { (agentSays, callerHears) ->
+    fun `a request that times out fails as not run only when its agent reports so`() {
+        val expected = mapOf(Execution.NotRun to Execution.NotRun, null to Execution.MayHaveRun)
+        expected.forEach { (reportedByAgent, receivedByCaller) ->
             runTest {
-                val entry = TestEntry(this, backgroundScope, mapOf("a" to listOf(silent)), 1, agentSays)
-                expectThat(entry.send(repeatable = false).getError()?.execution).isEqualTo(callerHears)
+                val entry = TestEntry(this, backgroundScope, mapOf("a" to listOf(neverReplies)), 1, reportedByAgent)
+                expectThat(entry.send(repeatable = false).getError()?.execution).isEqualTo(receivedByCaller)
                 expectThat(entry.cancels).isEqualTo(1)
             }
         }
     }
 
-    private class Parts(
+    private class Delivery(
         val name: String,
         val body: String?,
         val messages: Script,
     )
 
-    private val parts =
+    private val deliveries =
         listOf(
-            Parts("in order", "01") { listOf(head(it), chunk(it, 0), chunk(it, 1), end(it, 2)) },
-            Parts("a part twice", "01") { listOf(head(it), chunk(it, 0), chunk(it, 0), chunk(it, 1), end(it, 2)) },
-            Parts("a late part", "01") { listOf(head(it), chunk(it, 0), chunk(it, 1), chunk(it, 0), end(it, 2)) },
-            Parts("a part of another attempt", "0") {
+            Delivery("in order", "01") { listOf(head(it), chunk(it, 0), chunk(it, 1), end(it, 2)) },
+            Delivery("a duplicate", "01") { listOf(head(it), chunk(it, 0), chunk(it, 0), chunk(it, 1), end(it, 2)) },
+            Delivery("a late duplicate", "01") {
+                listOf(head(it), chunk(it, 0), chunk(it, 1), chunk(it, 0), end(it, 2))
+            },
+            Delivery("a chunk of another attempt", "0") {
                 listOf(head(it), chunk(it, 0), chunk(it, 1, attempt = it.attempt + 7), end(it, 1))
             },
-            Parts("parts after the end", "0") { listOf(head(it), chunk(it, 0), end(it, 1), chunk(it, 1)) },
-            Parts("a gap", null) { listOf(head(it), chunk(it, 0), chunk(it, 2), end(it, 3)) },
-            Parts("a gap that is filled late", null) {
+            Delivery("a chunk after the end", "0") { listOf(head(it), chunk(it, 0), end(it, 1), chunk(it, 1)) },
+            Delivery("a gap", null) { listOf(head(it), chunk(it, 0), chunk(it, 2), end(it, 3)) },
+            Delivery("a chunk out of order", null) {
                 listOf(head(it), chunk(it, 1), chunk(it, 0), chunk(it, 1), end(it, 2))
             },
-            Parts("a missing last part", null) { listOf(head(it), chunk(it, 0), end(it, 2)) },
-            Parts("a cut link", null) { listOf(head(it), chunk(it, 0), null) },
-            Parts("a failure", null) { listOf(head(it), chunk(it, 0), AnswerFailed(it.attempt, mayHaveRun, load)) },
+            Delivery("a missing last chunk", null) { listOf(head(it), chunk(it, 0), end(it, 2)) },
+            Delivery("a closed link", null) { listOf(head(it), chunk(it, 0), null) },
+            Delivery("a failure", null) { listOf(head(it), chunk(it, 0), AnswerFailed(it.attempt, mayHaveRun, load)) },
         )
 
     @TestFactory
-    fun `a caller gets the whole answer or a failure`(): List<DynamicTest> = parts.map { case ->
+    fun `a caller receives the complete answer or a failure`(): List<DynamicTest> = deliveries.map { case ->
         dynamicTest(case.name) {
             runTest {
                 val entry = TestEntry(this, backgroundScope, mapOf("a" to listOf(case.messages)), leaseMillis = 1)
-                val whole = collected(entry.send(repeatable = false).get()!!)
-                expectThat(whole.get()?.body?.decodeToString()).isEqualTo(case.body)
-                if (case.body != null) expectThat(whole.getError()).isNull()
-                if (case.body == null) expectThat(whole.getError()?.execution).isEqualTo(Execution.MayHaveRun)
+                val answer = collect(entry.send(repeatable = false).get()!!)
+                expectThat(answer.get()?.body?.decodeToString()).isEqualTo(case.body)
+                if (case.body != null) expectThat(answer.getError()).isNull()
+                if (case.body == null) expectThat(answer.getError()?.execution).isEqualTo(Execution.MayHaveRun)
             }
         }
     }
