--- a/entry/src/main/kotlin/io/carawaytrack/entry/AgentLinks.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/AgentLinks.kt
@@ -151,7 +151,7 @@
         attempt.close()
         // The message was already queued for sending, so it may have reached the agent before the link closed.
         if (sent) return Err(linkLost())
-        return Err(ErrorKind.NoHealthyUpstream.notRun("the link to the agent of ${initialAnnouncement.upstream} is closed"))
+        return Err(ErrorKind.NoHealthyUpstream.notRun("the link to ${initialAnnouncement.upstream} is closed"))
     }
 
     suspend fun receiveAll() {
@@ -187,7 +187,7 @@
     private fun linkLost() = Failure(
         ErrorKind.IncompleteAnswer,
         Execution.MayHaveRun,
-        "the link to the agent of ${initialAnnouncement.upstream} closed before the answer was complete",
+        "the link to ${initialAnnouncement.upstream} closed before the answer was complete",
     )
 }
 
--- a/entry/src/main/kotlin/io/carawaytrack/entry/AnswerMemoryLimiter.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/AnswerMemoryLimiter.kt
@@ -49,11 +49,11 @@
     }
 
     private fun terminate(stream: StreamId) {
-        val terminate = terminators.remove(stream)
+        val terminator = terminators.remove(stream)
         budget.close(stream)
-        if (terminate == null) return
+        if (terminator == null) return
         metrics.readerEnded()
-        terminate()
+        terminator()
     }
 
     fun release(
