--- a/agent/src/main/kotlin/io/carawaytrack/agent/AdmissionCheck.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/AdmissionCheck.kt
@@ -1,6 +1,6 @@
 /*
- * The last check before an upstream. The entry has decided already, but its configuration may be older than this
- * agent's, or it may have been frozen between its decision and now; so everything is checked again here.
+ * Final admission check before an attempt reaches the upstream. It repeats the checks of the entry, whose configuration
+ * may be older than this agent's and whose process may have been suspended between its decision and the send.
  */
 package io.carawaytrack.agent
 
@@ -18,25 +18,26 @@
 private const val RETRY_AFTER_MILLIS = 200L
 
 /** Decides whether an attempt may go to the upstream of this agent. */
-internal class Gate(
+internal class AdmissionCheck(
     private val upstream: UpstreamId,
     private val zone: ZoneName,
     private val versions: List<ModelVersion>,
     private val lease: Lease,
     private val configuration: () -> Configuration,
 ) {
-    /** Set when a planned stop begins; nothing passes from then on. */
+    /** Set when a planned shutdown begins; every attempt is refused from then on. */
     @Volatile
-    var leaving: Boolean = false
+    var shuttingDown: Boolean = false
 
     /** Returns why [attempt] may not run, or null when it may. */
     fun refusal(attempt: OpenAttempt): Failure? {
         val inForce = configuration()
         return when {
-            leaving -> ErrorKind.ShuttingDown.notRun(retryAfterMillis = 0)
-            !lease.held -> ErrorKind.ControlUnavailable.notRun("expected a lease, $upstream holds none")
+            shuttingDown -> ErrorKind.ShuttingDown.notRun(retryAfterMillis = 0)
+            !lease.held -> ErrorKind.ControlUnavailable.notRun("expected a lease, the agent of $upstream holds none")
             !inForce.inService(upstream, zone) -> outOfService()
-            attempt.version !in versions -> ErrorKind.NoHealthyUpstream.notRun("$upstream does not serve it")
+            attempt.version !in versions ->
+                ErrorKind.NoHealthyUpstream.notRun("$upstream does not serve ${attempt.version}")
             else -> versionRefusal(inForce, attempt) ?: organisationRefusal(inForce, attempt)
         }
     }
--- a/agent/src/main/kotlin/io/carawaytrack/agent/Agent.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/Agent.kt
@@ -1,5 +1,5 @@
 /*
- * One agent: its parts, joined, from the start to the graceful shutdown.
+ * Assembles the components of an agent and runs them from start to graceful shutdown.
  */
 package io.carawaytrack.agent
 
@@ -31,8 +31,8 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** Latency of a plain service differs by what is asked, so that it tells nothing about warmth. */
-private const val NO_RELAPSE_BY_LATENCY = 1e9
+/** Disables relapse by latency: the latency of a plain service depends on the request, not on whether it is warm. */
+private const val LATENCY_FACTOR_DISABLED = 1e9
 
 internal class Agent(
     private val settings: AgentSettings,
@@ -55,12 +55,12 @@
                 onSuspects = quarantine::merge,
             ),
         )
-    private val gate =
-        Gate(settings.upstream, process.zone, settings.versions, control.lease, control::configuration)
+    private val admissionCheck =
+        AdmissionCheck(settings.upstream, process.zone, settings.versions, control.lease, control::configuration)
     private val metrics = AgentMetrics(telemetry.registry, ::load)
     private val admission = AdmissionQueue(AdmissionSettings(), ::monotonicMillis, ::permits)
-    private val condition: UpstreamCondition =
-        UpstreamCondition(
+    private val health: UpstreamHealth =
+        UpstreamHealth(
             upstream = settings.upstream,
             scope = scope,
             slowStart = SlowStart(slowStartSettings(), ::monotonicMillis),
@@ -70,34 +70,34 @@
             onPermits = admission::permitsChanged,
         )
     private val settlement = Settlement(scope, control, settings.settleMillis, System::currentTimeMillis)
-    private val entries: EntryService = EntryService(scope, entryServicePorts())
+    private val entryService: EntryService = EntryService(scope, entryServicePorts())
 
     @Volatile
     private var port = settings.linkAddress.port
 
     suspend fun run(awaitStop: suspend () -> Unit) {
-        port = hub.listen(settings.linkAddress, entries::serve)
+        port = hub.listen(settings.linkAddress, entryService::serve)
         watchLease(telemetry.registry, control.lease::remainingMillis)
         control.start()
-        val ready = { control.lease.held && !gate.leaving }
+        val ready = { control.lease.held && !admissionCheck.shuttingDown }
         ObservabilityServer(process.observability, telemetry.registry, ready).use {
             logger.info { "agent of ${settings.upstream} listens on ${settings.linkAddress.host}:$port" }
             awaitStop()
-            leave()
+            drain()
         }
         close()
     }
 
     private fun entryServicePorts(): EntryServicePorts = EntryServicePorts(
-        gate = gate,
-        condition = condition,
+        admissionCheck = admissionCheck,
+        health = health,
         admission = admission,
         configuration = control::configuration,
         runUpstream = ::runInSpan,
         metrics = metrics,
         nowMillis = ::monotonicMillis,
     ) { outcome, runner ->
-        if (outcome.failure == null) settlement.expect(outcome, runner.settled)
+        if (outcome.failure == null) settlement.track(outcome, runner.settled)
     }
 
     private suspend fun runInSpan(
@@ -111,19 +111,19 @@
     }
 
     private fun slowStartSettings(): SlowStartSettings {
-        val byWarmth =
+        val slowStart =
             SlowStartSettings(
                 startPermits = minOf(settings.coldPermits, settings.maxPermits),
                 maxPermits = settings.maxPermits,
                 rampMillis = settings.rampMillis,
             )
-        if (settings.kind == ServiceKind.Model) return byWarmth
-        return byWarmth.copy(goodFactor = NO_RELAPSE_BY_LATENCY, relapseFactor = NO_RELAPSE_BY_LATENCY)
+        if (settings.kind == ServiceKind.Model) return slowStart
+        return slowStart.copy(goodFactor = LATENCY_FACTOR_DISABLED, relapseFactor = LATENCY_FACTOR_DISABLED)
     }
 
-    private fun permits(): Int = condition.permits
+    private fun permits(): Int = health.permits
 
-    private fun load(): UpstreamLoad = entries.load()
+    private fun load(): UpstreamLoad = entryService.load()
 
     private fun announcement(): Announcement = Announcement(
         upstream = settings.upstream,
@@ -133,19 +133,23 @@
         incarnation = incarnation,
         versions = settings.versions,
         load = load(),
-        leaving = gate.leaving,
+        leaving = admissionCheck.shuttingDown,
     )
 
-    /** Refuses new work, tells everybody, finishes what runs and commits what no entry has settled. */
-    private suspend fun leave() {
-        gate.leaving = true
+    /** Refuses new attempts, announces the shutdown, waits for running attempts and commits all unsettled outcomes. */
+    private suspend fun drain() {
+        admissionCheck.shuttingDown = true
         control.hurry()
-        val done =
+        val drained =
             withTimeoutOrNull(process.drainMillis) {
-                entries.awaitIdle()
+                entryService.awaitIdle()
                 settlement.flush()
             }
-        if (done == null) logger.warn { "expected no running attempt after ${process.drainMillis} ms: ${load()}" }
+        if (drained ==
+            null
+        ) {
+            logger.warn { "attempts still open after ${process.drainMillis} ms: ${load()}" }
+        }
     }
 
     private suspend fun close() {
--- a/agent/src/main/kotlin/io/carawaytrack/agent/AgentSettings.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/AgentSettings.kt
@@ -1,5 +1,5 @@
 /*
- * The settings file of an agent.
+ * Settings of an agent, read from its TOML file.
  */
 package io.carawaytrack.agent
 
@@ -12,15 +12,15 @@
 import io.carawaytrack.tables.SettingsReader
 
 /**
- * Holds the settings of an agent.
+ * Settings of an agent.
  *
- * @property upstreamAddress address of the upstream beside this agent
+ * @property upstreamAddress address of the upstream that this agent serves
  * @property linkAddress address on which entries connect
- * @property versions what the upstream serves
- * @property maxPermits requests that the upstream bears at once when it is warm
- * @property coldPermits requests that it bears at once after a cold start
- * @property rampMillis shortest time from a cold start to all permits; at least the longest cold start
- * @property settleMillis time after which the agent itself commits an outcome that no entry has settled
+ * @property versions model versions or service names that the upstream serves
+ * @property maxPermits maximum concurrent requests of the upstream when it is warm
+ * @property coldPermits maximum concurrent requests right after a cold start
+ * @property rampMillis minimum time from a cold start to [maxPermits]; must cover the longest cold start
+ * @property settleMillis time after which the agent commits an outcome that its entry has not settled
  */
 internal data class AgentSettings(
     val process: ProcessSettings,
@@ -39,11 +39,11 @@
 private const val MODEL_KIND = "model"
 private const val DEFAULT_PERMITS = 32
 private const val DEFAULT_COLD_PERMITS = 4
-private const val MOST_PERMITS = 100_000
+private const val MAX_PERMITS = 100_000
 private const val DEFAULT_RAMP_MILLIS = 10_000L
-private const val LONGEST_RAMP_MILLIS = 3_600_000L
+private const val MAX_RAMP_MILLIS = 3_600_000L
 private const val DEFAULT_SETTLE_MILLIS = 10_000L
-private const val LONGEST_SETTLE_MILLIS = 3_600_000L
+private const val MAX_SETTLE_MILLIS = 3_600_000L
 
 internal fun SettingsReader.agentSettings(): AgentSettings {
     val process = processSettings()
@@ -56,12 +56,12 @@
         versions = textList("upstream.versions").map(::servedVersion),
         linkAddress = address("link_address"),
         control = addressList("control_addresses"),
-        maxPermits = int("upstream.max_permits", 1..MOST_PERMITS, DEFAULT_PERMITS),
-        coldPermits = int("upstream.cold_permits", 1..MOST_PERMITS, DEFAULT_COLD_PERMITS),
-        rampMillis = long("upstream.ramp_millis", 0..LONGEST_RAMP_MILLIS, DEFAULT_RAMP_MILLIS),
-        settleMillis = long("settle_millis", 0..LONGEST_SETTLE_MILLIS, DEFAULT_SETTLE_MILLIS),
+        maxPermits = int("upstream.max_permits", 1..MAX_PERMITS, DEFAULT_PERMITS),
+        coldPermits = int("upstream.cold_permits", 1..MAX_PERMITS, DEFAULT_COLD_PERMITS),
+        rampMillis = long("upstream.ramp_millis", 0..MAX_RAMP_MILLIS, DEFAULT_RAMP_MILLIS),
+        settleMillis = long("settle_millis", 0..MAX_SETTLE_MILLIS, DEFAULT_SETTLE_MILLIS),
     )
 }
 
-// A plain service has no versions of its own; it is named alone.
+// A plain service has no versions and is listed by its name alone.
 private fun servedVersion(text: String) = ModelVersion.parse(text) ?: ModelVersion(text, ModelVersion.SERVICE_VERSION)
--- a/agent/src/main/kotlin/io/carawaytrack/agent/AttemptRunner.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/AttemptRunner.kt
@@ -1,6 +1,6 @@
 /*
- * Runs one attempt from the entry's order to the last part of the answer. Whether a failure says "not run" depends only
- * on whether the upstream call had begun.
+ * Runs one attempt from the entry's message to the last chunk of the answer. A failure is reported as not run only if
+ * the upstream cannot have received the request.
  */
 package io.carawaytrack.agent
 
@@ -26,10 +26,10 @@
 import java.io.ByteArrayOutputStream
 import java.io.IOException
 
-private const val SERVER_ERRORS_FROM = 500
+private const val MIN_SERVER_ERROR_STATUS = 500
 private const val EVENT_STREAM = "text/event-stream"
 
-/** Tells how an attempt that reached the upstream ended; [failure] is null for a complete answer. */
+/** Outcome of an attempt that was sent to the upstream; [failure] is null for a complete answer. */
 internal data class AttemptOutcome(
     val attempt: OpenAttempt,
     val usage: Usage,
@@ -38,20 +38,20 @@
     val elapsedMillis: Long,
 )
 
-/** One attempt on its way through the agent. */
+/** Runs one attempt and sends its answer or failure to the entry. */
 internal class AttemptRunner(
     private val attempt: OpenAttempt,
     private val send: suspend (Message) -> Boolean,
     private val load: () -> UpstreamLoad,
     private val nowMillis: () -> Long,
 ) {
-    /** Completed with true once the entry has committed the outcome, with false when the entry is gone. */
+    /** Completes with true once the entry has settled the outcome, with false if it will not. */
     val settled: CompletableDeferred<Boolean> = CompletableDeferred()
 
-    private val credit = CreditGate(attempt.creditBytes)
+    private val credit = CreditWindow(attempt.creditBytes)
 
     @Volatile
-    private var begun = false
+    private var upstreamCallStarted = false
 
     fun addCredit(bytes: Long): Unit = credit.add(bytes)
 
@@ -59,21 +59,20 @@
         send(AttemptRefused(attempt.attempt, failure, load()))
     }
 
-    /** Runs the attempt to its end. */
     suspend fun run(runUpstream: RunUpstream): AttemptOutcome {
         val answer = RelayedAnswer()
         val startedAtMillis = nowMillis()
         val failure =
             try {
                 withTimeout(attempt.timeoutMillis) {
-                    begun = true
+                    upstreamCallStarted = true
                     runUpstream(attempt, answer)
                 }
-                answer.incompleteness()
+                answer.incompleteFailure()
             } catch (_: TimeoutCancellationException) {
-                timeout()
-            } catch (broken: IOException) {
-                upstreamFailed(broken)
+                timeoutFailure()
+            } catch (disconnected: IOException) {
+                connectionFailure(disconnected)
             }
         return finish(answer, failure, nowMillis() - startedAtMillis)
     }
@@ -89,28 +88,28 @@
         } else {
             send(AnswerFailed(attempt.attempt, failure, load()))
         }
-        return AttemptOutcome(attempt, usage, answer.stored(), failure, elapsedMillis)
+        return AttemptOutcome(attempt, usage, answer.storedAnswer(), failure, elapsedMillis)
     }
 
-    /** Tells the entry whether the cancelled attempt may have run. */
-    suspend fun cancelled() {
-        if (!begun) return refuse(ErrorKind.CallerGone.notRun())
+    /** Reports to the entry whether the cancelled attempt may have run. */
+    suspend fun reportCancelled() {
+        if (!upstreamCallStarted) return refuse(ErrorKind.CallerGone.notRun())
         send(AnswerFailed(attempt.attempt, Failure(ErrorKind.CallerGone, Execution.MayHaveRun), load()))
     }
 
-    private fun timeout(): Failure {
-        val detail = "expected the whole answer within ${attempt.timeoutMillis} ms"
+    private fun timeoutFailure(): Failure {
+        val detail = "expected a complete answer within ${attempt.timeoutMillis} ms"
         return Failure(ErrorKind.UpstreamTimeout, Execution.MayHaveRun, detail)
     }
 
-    private fun upstreamFailed(cause: IOException): Failure {
+    private fun connectionFailure(cause: IOException): Failure {
         val refused = cause is java.net.ConnectException
         val execution = if (refused) Execution.NotRun else Execution.MayHaveRun
-        return Failure(ErrorKind.UpstreamFailed, execution, "the upstream's connection failed: ${cause.message}")
+        return Failure(ErrorKind.UpstreamFailed, execution, "connection to the upstream failed: ${cause.message}")
     }
 
     private inner class RelayedAnswer : AnswerSink {
-        private val kept = ByteArrayOutputStream()
+        private val storedBody = ByteArrayOutputStream()
         private var status = 0
         private var contentType: String? = null
         private var meter = UsageMeter(streamed = false)
@@ -128,24 +127,24 @@
         }
 
         override suspend fun chunk(bytes: ByteArray) {
-            credit.take(bytes.size.toLong())
+            credit.consume(bytes.size.toLong())
             meter.add(bytes)
-            if (kept.size() <= MAX_STORED_ANSWER_BYTES) kept.write(bytes)
+            if (storedBody.size() <= MAX_STORED_ANSWER_BYTES) storedBody.write(bytes)
             send(AnswerChunk(attempt.attempt, chunks++, bytes))
         }
 
         fun usage(): Usage = meter.usage()
 
-        /** Returns a failure when the stream has ended without its closing event. */
-        fun incompleteness(): Failure? {
+        /** Returns a failure if the stream ended without its closing event. */
+        fun incompleteFailure(): Failure? {
             meter.usage()
-            if (meter.complete || status >= SERVER_ERRORS_FROM) return null
-            return Failure(ErrorKind.IncompleteAnswer, Execution.Ran, "expected the closing event of the stream")
+            if (meter.complete || status >= MIN_SERVER_ERROR_STATUS) return null
+            return Failure(ErrorKind.IncompleteAnswer, Execution.Ran, "stream ended without its closing event")
         }
 
-        fun stored(): StoredAnswer? {
+        fun storedAnswer(): StoredAnswer? {
             if (status == 0) return null
-            val body = kept.toByteArray().takeIf { it.size <= MAX_STORED_ANSWER_BYTES }
+            val body = storedBody.toByteArray().takeIf { it.size <= MAX_STORED_ANSWER_BYTES }
             return StoredAnswer(status, contentType, body, attempt.version)
         }
     }
--- a/agent/src/main/kotlin/io/carawaytrack/agent/CreditWindow.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/CreditWindow.kt
@@ -1,6 +1,6 @@
 /*
- * Bounds how much of an answer may be under way to an entry. When the credit is used up, the agent stops reading from
- * the upstream, so that a slow caller slows down its own stream and no other.
+ * Flow control of one answer: bounds the bytes in transit to the entry. Without credit the agent stops reading from the
+ * upstream, so that a slow caller slows down only its own stream.
  */
 package io.carawaytrack.agent
 
@@ -8,15 +8,15 @@
 import kotlinx.coroutines.flow.first
 import kotlinx.coroutines.flow.update
 
-internal class CreditGate(
+internal class CreditWindow(
     initialBytes: Long,
 ) {
     private val available = MutableStateFlow(initialBytes)
 
     fun add(bytes: Long): Unit = available.update { it + bytes }
 
-    /** Waits for any credit, then takes [bytes]; the last chunk may overdraw by less than one chunk. */
-    suspend fun take(bytes: Long) {
+    /** Waits for any credit, then consumes [bytes]; the balance may become negative by less than one chunk. */
+    suspend fun consume(bytes: Long) {
         available.first { it > 0 }
         available.update { it - bytes }
     }
--- a/agent/src/main/kotlin/io/carawaytrack/agent/EntryService.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/EntryService.kt
@@ -1,5 +1,5 @@
 /*
- * Serves the links of entries: admits or refuses their attempts and runs the admitted ones.
+ * Serves the links from entries: admits or refuses their attempts and runs the admitted ones.
  */
 package io.carawaytrack.agent
 
@@ -34,13 +34,13 @@
 
 private val logger = KotlinLogging.logger {}
 
-private const val LONGEST_WAIT_MILLIS = 2_000L
+private const val MAX_QUEUE_WAIT_MILLIS = 2_000L
 private const val NANOS_PER_MILLI = 1_000_000L
 
-/** What an [EntryService] needs from the agent around it. */
+/** Dependencies of an [EntryService]. */
 internal class EntryServicePorts(
-    val gate: Gate,
-    val condition: UpstreamCondition,
+    val admissionCheck: AdmissionCheck,
+    val health: UpstreamHealth,
     val admission: AdmissionQueue,
     val configuration: () -> Configuration,
     val runUpstream: RunUpstream,
@@ -57,12 +57,12 @@
     private val queuedTokens = AtomicLong()
 
     fun load(): UpstreamLoad = UpstreamLoad(
-        permits = ports.condition.permits,
+        permits = ports.health.permits,
         running = admission.running + admission.waiting,
         queuedTokens = queuedTokens.get(),
     )
 
-    /** Refuses what comes from now on and waits until no attempt runs. */
+    /** Refuses new attempts and waits until no attempt is running. */
     suspend fun awaitIdle() {
         admission.closeForNew()
         admission.awaitIdle()
@@ -76,10 +76,10 @@
                 is Credit -> attempts[message.attempt]?.runner?.addCredit(message.bytes)
                 is CancelAttempt -> attempts[message.attempt]?.cancel()
                 is AttemptSettled -> attempts[message.attempt]?.runner?.settled?.complete(true)
-                else -> logger.warn { "ignored a ${message::class.simpleName} from ${link.peer.node}" }
+                else -> logger.warn { "ignored unexpected ${message::class.simpleName} from ${link.peer.node}" }
             }
         }
-        attempts.values.forEach(RunningAttempt::entryGone)
+        attempts.values.forEach(RunningAttempt::onEntryDisconnected)
     }
 
     private suspend fun open(
@@ -89,14 +89,14 @@
     ) {
         val runner = AttemptRunner(attempt, link::send, ::load, ports.nowMillis)
         refusal(attempt)?.let { return refuse(runner, it) }
-        // Begun here and now, up to its first wait: cancelled before that, an attempt would never give its answer.
+        // Starts undispatched: an attempt cancelled before its coroutine has started would never send a reply.
         val job = scope.launch(start = CoroutineStart.UNDISPATCHED) { admitAndRun(attempt, runner) }
         attempts[attempt.attempt] = RunningAttempt(attempt, runner, job)
         runner.settled.invokeOnCompletion { attempts.remove(attempt.attempt) }
     }
 
     private fun refusal(attempt: OpenAttempt): Failure? =
-        ports.gate.refusal(attempt) ?: ports.condition.refusal(attempt.fingerprint)
+        ports.admissionCheck.refusal(attempt) ?: ports.health.refusal(attempt.fingerprint)
 
     private suspend fun refuse(
         runner: AttemptRunner,
@@ -119,7 +119,7 @@
             val ticket = ticket(attempt).getOrElse { return refuse(runner, it) }
             ticket.use { run(attempt, runner) }
         } catch (cancelled: CancellationException) {
-            withContext(NonCancellable) { endCancelled(attempt, runner) }
+            withContext(NonCancellable) { finishCancelled(attempt, runner) }
             throw cancelled
         } finally {
             queuedTokens.addAndGet(-tokens)
@@ -132,7 +132,7 @@
             share = shareOf(attempt),
             priority = attempt.priority,
             cost = attempt.estimatedTokens.coerceAtLeast(1),
-            deadlineMillis = ports.nowMillis() + minOf(attempt.timeoutMillis, LONGEST_WAIT_MILLIS),
+            deadlineMillis = ports.nowMillis() + minOf(attempt.timeoutMillis, MAX_QUEUE_WAIT_MILLIS),
         ),
     )
 
@@ -146,23 +146,23 @@
         attempt: OpenAttempt,
         runner: AttemptRunner,
     ) {
-        // What was allowed when the attempt joined the queue may be forbidden now.
+        // Checks again, because the configuration may have changed while the attempt was queued.
         refusal(attempt)?.let { return refuse(runner, it) }
-        ports.condition.started(attempt.fingerprint)
+        ports.health.recordStart(attempt.fingerprint)
         val outcome = runner.run(ports.runUpstream)
         if (outcome.failure != null) runner.settled.complete(false)
         ports.onOutcome(outcome, runner)
         ports.metrics.attemptEnded(outcome.toMetric())
-        ports.condition.ended(attempt.fingerprint, outcome)
+        ports.health.recordOutcome(attempt.fingerprint, outcome)
     }
 
-    private suspend fun endCancelled(
+    private suspend fun finishCancelled(
         attempt: OpenAttempt,
         runner: AttemptRunner,
     ) {
         runner.settled.complete(false)
-        runner.cancelled()
-        ports.condition.ended(attempt.fingerprint, outcome = null)
+        runner.reportCancelled()
+        ports.health.recordOutcome(attempt.fingerprint, outcome = null)
     }
 
     private fun AttemptOutcome.toMetric() = UpstreamAttemptEnd(
@@ -180,8 +180,11 @@
 ) {
     fun cancel(): Unit = job.cancel()
 
-    /** Ends what nobody waits for; a request that may not be repeated runs on, so that its outcome becomes known. */
-    fun entryGone() {
+    /**
+     * Cancels the attempt if it is repeatable. Otherwise lets it finish without flow control, so that its outcome is
+     * recorded.
+     */
+    fun onEntryDisconnected() {
         runner.settled.complete(false)
         runner.addCredit(Long.MAX_VALUE / 2)
         if (attempt.repeatable) cancel()
--- a/agent/src/main/kotlin/io/carawaytrack/agent/Main.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/Main.kt
@@ -1,5 +1,5 @@
 /*
- * The program `caraway-agent`: stands beside one upstream, announces it, and is the last gate before it.
+ * The `caraway-agent` program: runs next to one upstream, announces it to the cluster and controls access to it.
  */
 package io.carawaytrack.agent
 
@@ -12,10 +12,10 @@
 import java.nio.file.Path
 import java.util.concurrent.Callable
 
-/** Starts an agent from the command line. */
+/** Entry point of the command line program. */
 public fun main(arguments: Array<String>): Unit = runCommand(AgentCommand(), arguments)
 
-@Command(name = "caraway-agent", mixinStandardHelpOptions = true, description = ["Runs beside one upstream."])
+@Command(name = "caraway-agent", mixinStandardHelpOptions = true, description = ["Controls access to one upstream."])
 private class AgentCommand : Callable<Int> {
     @Option(names = ["--settings"], required = true, description = ["Settings file in TOML."])
     private lateinit var settingsFile: Path
--- a/agent/src/main/kotlin/io/carawaytrack/agent/Settlement.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/Settlement.kt
@@ -1,6 +1,6 @@
 /*
- * Keeps the outcome of every completed attempt until its entry reports that it has been committed. When the entry is
- * gone or silent, the agent commits the outcome itself; the ledger takes whichever record comes first.
+ * Keeps the outcome of every completed attempt until its entry settles it. If the entry disconnects or does not settle
+ * in time, the agent commits the outcome itself; the ledger accepts whichever record arrives first.
  */
 package io.carawaytrack.agent
 
@@ -24,7 +24,7 @@
 private val logger = KotlinLogging.logger {}
 
 private const val TOKENS_PER_KILO_TOKEN = 1_000.0
-private const val LOWEST_ERROR_STATUS = 400
+private const val MIN_ERROR_STATUS = 400
 private const val COMMIT_TIMEOUT_MILLIS = 60_000L
 
 internal class Settlement(
@@ -33,29 +33,29 @@
     private val settleMillis: Long,
     private val wallClockMillis: () -> Long,
 ) {
-    private val waiting = ConcurrentHashMap.newKeySet<CompletableDeferred<Boolean>>()
-    private val open = MutableStateFlow(0)
+    private val unsettled = ConcurrentHashMap.newKeySet<CompletableDeferred<Boolean>>()
+    private val openCount = MutableStateFlow(0)
 
-    /** Waits for [settled] and commits the outcome itself when it does not come. */
-    fun expect(
+    /** Commits [outcome] unless the entry completes [settled] within the settlement time. */
+    fun track(
         outcome: AttemptOutcome,
         settled: CompletableDeferred<Boolean>,
     ) {
-        waiting += settled
-        open.update { it + 1 }
+        unsettled += settled
+        openCount.update { it + 1 }
         scope.launch {
-            val byEntry = withTimeoutOrNull(settleMillis) { settled.await() } ?: false
-            waiting -= settled
+            val settledByEntry = withTimeoutOrNull(settleMillis) { settled.await() } ?: false
+            unsettled -= settled
             settled.complete(false)
-            if (!byEntry) commit(outcome)
-            open.update { it - 1 }
+            if (!settledByEntry) commit(outcome)
+            openCount.update { it - 1 }
         }
     }
 
-    /** Commits at once what no entry has settled, and waits for it. */
+    /** Commits all unsettled outcomes immediately and waits until the commits have ended. */
     suspend fun flush() {
-        waiting.forEach { it.complete(false) }
-        open.first { it == 0 }
+        unsettled.forEach { it.complete(false) }
+        openCount.first { it == 0 }
     }
 
     private suspend fun commit(outcome: AttemptOutcome) {
@@ -65,12 +65,12 @@
                 organisation = attempt.organisation,
                 request = attempt.request,
                 answer = answer,
-                bill = if (answer == null || answer.status >= LOWEST_ERROR_STATUS) null else bill(attempt, usage),
+                bill = if (answer == null || answer.status >= MIN_ERROR_STATUS) null else bill(attempt, usage),
                 atMillis = wallClockMillis(),
             )
         control
             .commit(command.encode(), COMMIT_TIMEOUT_MILLIS)
-            .onFailure { logger.error { "outcome of ${attempt.request} not committed: ${it.detail}" } }
+            .onFailure { logger.error { "could not commit the outcome of ${attempt.request}: ${it.detail}" } }
     }
 
     private fun bill(
--- a/agent/src/main/kotlin/io/carawaytrack/agent/UpstreamClient.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/UpstreamClient.kt
@@ -1,5 +1,5 @@
 /*
- * Sends an attempt to the upstream over HTTP and hands out its answer in parts.
+ * Sends attempts to the upstream over HTTP and relays the answers in chunks.
  */
 package io.carawaytrack.agent
 
@@ -27,14 +27,14 @@
 import java.net.InetSocketAddress
 import java.net.Socket
 
-private const val CHUNK_BYTES = 16 * 1024
+private const val MAX_CHUNK_BYTES = 16 * 1024
 private const val PROBE_TIMEOUT_MILLIS = 1_000
-private const val CONNECTIONS = 10_000
+private const val MAX_CONNECTIONS = 10_000
 
-private val hopByHop =
+private val hopByHopHeaders =
     setOf("connection", "keep-alive", "transfer-encoding", "te", "trailer", "upgrade", "content-length", "host")
 
-/** Receives the parts of an upstream's answer in order. */
+/** Receives an upstream's answer: the head once, then the body in chunks. */
 internal interface AnswerSink {
     suspend fun head(
         status: Int,
@@ -44,7 +44,7 @@
     suspend fun chunk(bytes: ByteArray)
 }
 
-/** Runs an attempt on the upstream; throws `IOException` when the connection fails or breaks. */
+/** Runs an attempt on the upstream; throws `IOException` when the connection fails or is lost. */
 internal typealias RunUpstream = suspend (attempt: OpenAttempt, sink: AnswerSink) -> Unit
 
 internal class UpstreamClient(
@@ -56,12 +56,12 @@
             followRedirects = false
             engine {
                 requestTimeout = 0
-                maxConnectionsCount = CONNECTIONS
-                endpoint { maxConnectionsPerRoute = CONNECTIONS }
+                maxConnectionsCount = MAX_CONNECTIONS
+                endpoint { maxConnectionsPerRoute = MAX_CONNECTIONS }
             }
         }
 
-    /** Runs [attempt] as the next hop of [traceparent]. */
+    /** Sends [attempt] with [traceparent] as its trace context and relays the answer to [sink]. */
     suspend fun run(
         attempt: OpenAttempt,
         traceparent: String?,
@@ -71,7 +71,7 @@
             client.prepareRequest {
                 method = HttpMethod.parse(attempt.method)
                 url("http://$upstream${attempt.path}")
-                attempt.headers.filter(::forwarded).forEach { header(it.name, it.value) }
+                attempt.headers.filter(::isForwarded).forEach { header(it.name, it.value) }
                 header(REQUEST_ID_HEADER, attempt.request.value)
                 traceparent?.let { header("traceparent", it) }
                 if (attempt.body.isNotEmpty()) setBody(ByteArrayContent(attempt.body))
@@ -84,15 +84,15 @@
         sink: AnswerSink,
     ) {
         val headers = response.headers.flattenEntries().map { (name, value) -> Header(name, value) }
-        sink.head(response.status.value, headers.filterNot { it.name.lowercase() in hopByHop })
-        copy(response.bodyAsChannel(), sink)
+        sink.head(response.status.value, headers.filterNot { it.name.lowercase() in hopByHopHeaders })
+        relayBody(response.bodyAsChannel(), sink)
     }
 
-    private suspend fun copy(
+    private suspend fun relayBody(
         body: ByteReadChannel,
         sink: AnswerSink,
     ) {
-        val buffer = ByteArray(CHUNK_BYTES)
+        val buffer = ByteArray(MAX_CHUNK_BYTES)
         while (true) {
             val count = body.readAvailable(buffer)
             if (count < 0) return
@@ -100,9 +100,9 @@
         }
     }
 
-    private fun forwarded(header: Header): Boolean {
+    private fun isForwarded(header: Header): Boolean {
         val name = header.name.lowercase()
-        return name !in hopByHop && name != HttpHeaders.Authorization.lowercase() && name != "traceparent"
+        return name !in hopByHopHeaders && name != HttpHeaders.Authorization.lowercase() && name != "traceparent"
     }
 
     /** Returns whether the upstream accepts connections. */
--- a/agent/src/main/kotlin/io/carawaytrack/agent/UpstreamHealth.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/UpstreamHealth.kt
@@ -1,7 +1,7 @@
 /*
- * How the upstream beside this agent is: whether it can be reached, how much it bears, and which requests it has died
- * from. An upstream that refuses connections after a request broke off counts as dead; what was in flight then becomes
- * suspect, and the upstream starts slowly once it can be reached again.
+ * Health of the agent's upstream: whether it accepts connections, its concurrency limit, and which requests may have
+ * crashed it. An upstream that refuses connections after an attempt failed is assumed to have crashed: the requests in
+ * flight become crash suspects, and the upstream goes through a slow start once it accepts connections again.
  */
 package io.carawaytrack.agent
 
@@ -21,11 +21,11 @@
 
 private val logger = KotlinLogging.logger {}
 
-private const val LOWEST_SERVER_ERROR = 500
+private const val MIN_SERVER_ERROR_STATUS = 500
 private const val PROBE_INTERVAL_MILLIS = 200L
 private const val DOWN_RETRY_AFTER_MILLIS = 1_000L
 
-internal class UpstreamCondition(
+internal class UpstreamHealth(
     private val upstream: UpstreamId,
     private val scope: CoroutineScope,
     private val slowStart: SlowStart,
@@ -36,45 +36,45 @@
 ) {
     private val reachable = AtomicBoolean(true)
 
-    /** Requests that the upstream may run at once. */
+    /** Maximum concurrent requests of the upstream. */
     val permits: Int get() = if (reachable.get()) slowStart.permits else 0
 
-    /** Returns why a request with [fingerprint] may not go to the upstream, or null when it may. */
+    /** Returns why a request with [fingerprint] must not be sent to the upstream, or null if it may be sent. */
     fun refusal(fingerprint: Long): Failure? {
         val quarantined = quarantine.refusalOf(fingerprint)
         if (quarantined != null) return quarantined
         if (reachable.get()) return null
-        return ErrorKind.NoHealthyUpstream.notRun("$upstream cannot be reached", DOWN_RETRY_AFTER_MILLIS)
+        return ErrorKind.NoHealthyUpstream.notRun("$upstream does not accept connections", DOWN_RETRY_AFTER_MILLIS)
     }
 
-    fun started(fingerprint: Long): Unit = quarantine.started(fingerprint)
+    fun recordStart(fingerprint: Long): Unit = quarantine.started(fingerprint)
 
-    /** Takes in how an attempt ended; null stands for one that was cancelled. */
-    suspend fun ended(
+    /** Records the [outcome] of an attempt, null if the attempt was cancelled. */
+    suspend fun recordOutcome(
         fingerprint: Long,
         outcome: AttemptOutcome?,
     ) {
         val failure = outcome?.failure
-        if (failure?.kind == ErrorKind.UpstreamFailed) checkAlive()
-        quarantine.finished(fingerprint, completed = outcome != null && outcome.served)
+        if (failure?.kind == ErrorKind.UpstreamFailed) probeAfterFailure()
+        quarantine.finished(fingerprint, completed = outcome != null && outcome.succeeded)
         if (outcome == null) return
         when {
-            outcome.served -> slowStart.completed(outcome.elapsedMillis, outcome.tokens)
+            outcome.succeeded -> slowStart.completed(outcome.elapsedMillis, outcome.tokens)
             failure?.execution != Execution.NotRun -> slowStart.failed()
         }
         onPermits()
     }
 
-    private suspend fun checkAlive() {
+    private suspend fun probeAfterFailure() {
         if (probe() || !reachable.compareAndSet(true, false)) return
-        logger.warn { "expected $upstream to accept connections, it has died" }
+        logger.warn { "$upstream refuses connections after a failed attempt; assuming that it has crashed" }
         quarantine.upstreamDied()
         metrics.slowStarted()
         slowStart.restarted()
-        scope.launch { awaitReturn() }
+        scope.launch { awaitReachable() }
     }
 
-    private suspend fun awaitReturn() {
+    private suspend fun awaitReachable() {
         while (!probe()) delay(PROBE_INTERVAL_MILLIS)
         reachable.set(true)
         onPermits()
@@ -83,6 +83,6 @@
 
 private val AttemptOutcome.tokens: Long get() = (usage.promptTokens + usage.answerTokens).coerceAtLeast(1)
 
-/** Whether the upstream did its work; one that falls over under load answers fast with a server error. */
-private val AttemptOutcome.served: Boolean
-    get() = failure == null && (answer?.status ?: 0) < LOWEST_SERVER_ERROR
+/** Whether the upstream processed the request; an overloaded upstream may answer quickly with a server error. */
+private val AttemptOutcome.succeeded: Boolean
+    get() = failure == null && (answer?.status ?: 0) < MIN_SERVER_ERROR_STATUS
--- a/agent/src/main/kotlin/io/carawaytrack/agent/UsageMeter.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/UsageMeter.kt
@@ -1,5 +1,5 @@
 /*
- * Reads token counts out of an answer as it passes, from a whole JSON answer or from the events of a stream.
+ * Extracts token counts from an answer while it is relayed: from a JSON body or from the events of a stream.
  */
 package io.carawaytrack.agent
 
@@ -11,9 +11,9 @@
 import kotlinx.serialization.json.longOrNull
 import java.io.ByteArrayOutputStream
 
-private const val LONGEST_LINE_BYTES = 1024 * 1024
+private const val MAX_LINE_BYTES = 1024 * 1024
 private const val EVENT_PREFIX = "data:"
-private const val END_EVENT = "[DONE]"
+private const val CLOSING_EVENT = "[DONE]"
 private const val NEWLINE = '\n'.code.toByte()
 
 internal class UsageMeter(
@@ -21,9 +21,9 @@
 ) {
     private val line = ByteArrayOutputStream()
     private var events = 0L
-    private var reported: Usage? = null
+    private var reportedUsage: Usage? = null
 
-    /** Whether a stream has shown its closing event; a whole answer always counts as complete. */
+    /** Whether the stream has sent its closing event; always true for an answer that is not streamed. */
     var complete: Boolean = !streamed
         private set
 
@@ -38,10 +38,10 @@
         append(bytes, start, bytes.size)
     }
 
-    /** Returns the counts of the whole answer, by the engine's report or else by the number of events. */
+    /** Returns the counts reported by the upstream, or else the number of events as the count of answer tokens. */
     fun usage(): Usage {
         if (line.size() > 0) endLine()
-        return reported ?: Usage(answerTokens = events)
+        return reportedUsage ?: Usage(answerTokens = events)
     }
 
     private fun append(
@@ -49,28 +49,28 @@
         from: Int,
         to: Int,
     ) {
-        val room = LONGEST_LINE_BYTES - line.size()
-        line.write(bytes, from, minOf(to - from, room))
+        val freeBytes = MAX_LINE_BYTES - line.size()
+        line.write(bytes, from, minOf(to - from, freeBytes))
     }
 
     private fun endLine() {
         val text = line.toString(Charsets.UTF_8).trim()
         line.reset()
-        if (!streamed) return read(text)
+        if (!streamed) return parseUsage(text)
         if (!text.startsWith(EVENT_PREFIX)) return
         val event = text.removePrefix(EVENT_PREFIX).trim()
-        if (event == END_EVENT) {
+        if (event == CLOSING_EVENT) {
             complete = true
             return
         }
         events++
-        if ("\"usage\"" in event) read(event)
+        if ("\"usage\"" in event) parseUsage(event)
     }
 
-    private fun read(text: String) {
+    private fun parseUsage(text: String) {
         val answer = runCatching { Json.parseToJsonElement(text).jsonObject }.getOrNull() ?: return
         val usage = answer["usage"] as? JsonObject ?: return
-        reported = Usage(usage.count("prompt_tokens"), usage.count("completion_tokens"))
+        reportedUsage = Usage(usage.count("prompt_tokens"), usage.count("completion_tokens"))
     }
 
     private fun JsonObject.count(name: String): Long = get(name)?.jsonPrimitive?.longOrNull ?: 0
--- a/agent/src/test/kotlin/io/carawaytrack/agent/AgentFixture.kt
+++ b/agent/src/test/kotlin/io/carawaytrack/agent/AgentFixture.kt
@@ -1,5 +1,5 @@
 /*
- * An agent's inner parts with a link that the test plays, an upstream that counts its runs, and virtual time.
+ * Components of an agent with a fake link, an upstream that records its runs, and virtual time.
  */
 package io.carawaytrack.agent
 
@@ -48,7 +48,7 @@
 
 internal fun Configuration.withState(state: VersionState) = copy(versionStates = mapOf(pen.toString() to state))
 
-internal fun order(
+internal fun openAttempt(
     attempt: Long = 1,
     repeatable: Boolean = true,
     pinned: Boolean = false,
@@ -72,7 +72,7 @@
     creditBytes = creditBytes,
 )
 
-/** Keeps what was committed to the ledger. */
+/** Records the commands committed to the ledger. */
 internal class FakeControl : ControlClient {
     val committed = mutableListOf<LedgerCommand>()
     override var configuration = inForce
@@ -109,12 +109,12 @@
     val runs = mutableListOf<Long>()
     val control = FakeControl()
     val link = FakeLink(testPeer("entry-1", NodeRole.Entry))
-    val gate = Gate(upstreamId, zone, listOf(pen), control.lease) { control.configuration }
+    val admissionCheck = AdmissionCheck(upstreamId, zone, listOf(pen), control.lease) { control.configuration }
     private val settlement = Settlement(scope, control, SETTLE_MILLIS) { 0 }
     private val admission = AdmissionQueue(AdmissionSettings(), nowMillis) { permits }
     private val metrics = AgentMetrics(PrometheusRegistry()) { UpstreamLoad(0, 0) }
-    private val condition =
-        UpstreamCondition(
+    private val health =
+        UpstreamHealth(
             upstream = upstreamId,
             scope = scope,
             slowStart = SlowStart(SlowStartSettings(startPermits = permits, maxPermits = permits), nowMillis),
@@ -123,14 +123,14 @@
             probe = { true },
             onPermits = admission::permitsChanged,
         )
-    val entries =
+    val entryService =
         EntryService(
             scope,
-            EntryServicePorts(gate, condition, admission, { control.configuration }, ::run, metrics, nowMillis) {
+            EntryServicePorts(admissionCheck, health, admission, { control.configuration }, ::run, metrics, nowMillis) {
                 outcome,
                 runner,
                 ->
-                if (outcome.failure == null) settlement.expect(outcome, runner.settled)
+                if (outcome.failure == null) settlement.track(outcome, runner.settled)
             },
         )
 
--- a/agent/src/test/kotlin/io/carawaytrack/agent/AgentTest.kt
+++ b/agent/src/test/kotlin/io/carawaytrack/agent/AgentTest.kt
@@ -1,6 +1,6 @@
 /*
- * What an agent answers to an entry when the attempt may not run, when the upstream fails, and when the entry is slow
- * or gone: messages in, messages out, in virtual time.
+ * Replies of an agent to an entry: refused attempts, upstream failures, and entries that are slow or disconnect. The
+ * link is a fake and time is virtual.
  */
 package io.carawaytrack.agent
 
@@ -44,11 +44,11 @@
 import java.io.IOException
 import java.net.ConnectException
 
-private val letter = """{"usage":{"prompt_tokens":3,"completion_tokens":4}}""".encodeToByteArray()
+private val answerBody = """{"usage":{"prompt_tokens":3,"completion_tokens":4}}""".encodeToByteArray()
 
-private val wholeAnswer: RunUpstream = { _, sink ->
+private val completeAnswer: RunUpstream = { _, sink ->
     sink.head(200, jsonHeaders)
-    sink.chunk(letter)
+    sink.chunk(answerBody)
 }
 
 private suspend fun AnswerSink.event(text: String) = chunk("data: $text\n\n".encodeToByteArray())
@@ -60,26 +60,30 @@
         test: suspend TestScope.(TestAgent) -> Unit,
     ) = runTest {
         val agent = TestAgent(backgroundScope, { testScheduler.currentTime }, permits, upstream)
-        backgroundScope.launch { agent.entries.serve(agent.link) }
+        backgroundScope.launch { agent.entryService.serve(agent.link) }
         test(agent)
     }
 
     private class Refusal(
         val name: String,
         val kind: ErrorKind?,
-        val order: OpenAttempt = order(),
+        val openAttempt: OpenAttempt = openAttempt(),
         val configuration: Configuration = inForce,
         val leaseMillis: Long = 1,
-        val leaving: Boolean = false,
+        val shuttingDown: Boolean = false,
     )
 
     private val refusals =
         listOf(
             Refusal("serving", kind = null),
             Refusal("a lapsed lease", ErrorKind.ControlUnavailable, leaseMillis = 0),
-            Refusal("a zone out", ErrorKind.NoHealthyUpstream, configuration = inForce.copy(zonesOut = setOf(zone))),
             Refusal(
-                "an upstream out",
+                "a zone out of service",
+                ErrorKind.NoHealthyUpstream,
+                configuration = inForce.copy(zonesOut = setOf(zone)),
+            ),
+            Refusal(
+                "an upstream out of service",
                 ErrorKind.NoHealthyUpstream,
                 configuration = inForce.copy(upstreamsOut = setOf(upstreamId)),
             ),
@@ -91,7 +95,7 @@
             Refusal(
                 "a draining version with a pin",
                 kind = null,
-                order(pinned = true),
+                openAttempt(pinned = true),
                 inForce.withState(VersionState.Draining),
             ),
             Refusal(
@@ -102,13 +106,13 @@
             Refusal(
                 "a withdrawn version with a pin",
                 ErrorKind.StaleConfiguration,
-                order(pinned = true),
+                openAttempt(pinned = true),
                 inForce.withState(VersionState.Withdrawn),
             ),
             Refusal(
-                "an order decided before the withdrawal",
+                "an attempt planned before the withdrawal",
                 ErrorKind.StaleConfiguration,
-                order(configurationNumber = 1),
+                openAttempt(configurationNumber = 1),
                 inForce.withState(VersionState.Withdrawn).copy(number = 2),
             ),
             Refusal(
@@ -119,24 +123,24 @@
                         tables = inForce.tables.copy(organisations = listOf(market.copy(allows = listOf("ink@1")))),
                     ),
             ),
-            Refusal("an unknown organisation", ErrorKind.NotAllowed, order(organisation = "nobody")),
+            Refusal("an unknown organisation", ErrorKind.NotAllowed, openAttempt(organisation = "nobody")),
             Refusal(
                 "a version that the upstream does not serve",
                 ErrorKind.NoHealthyUpstream,
-                order(version = ModelVersion("pen", "2")),
+                openAttempt(version = ModelVersion("pen", "2")),
             ),
-            Refusal("a planned stop", ErrorKind.ShuttingDown, leaving = true),
+            Refusal("a planned shutdown", ErrorKind.ShuttingDown, shuttingDown = true),
         )
 
     @TestFactory
-    fun `a refused attempt never reaches the upstream and says that it has not run`(): List<DynamicTest> =
+    fun `a refused attempt never reaches the upstream and is reported as not run`(): List<DynamicTest> =
         refusals.map { case ->
             dynamicTest(case.name) {
-                withAgent(wholeAnswer) { agent ->
+                withAgent(completeAnswer) { agent ->
                     agent.control.configuration = case.configuration
                     agent.control.lease.millis = case.leaseMillis
-                    agent.gate.leaving = case.leaving
-                    agent.link.deliver(case.order)
+                    agent.admissionCheck.shuttingDown = case.shuttingDown
+                    agent.link.deliver(case.openAttempt)
                     runCurrent()
                     if (case.kind == null) {
                         expectThat(agent.runs).containsExactly(1L)
@@ -151,34 +155,50 @@
             }
         }
 
-    private class Break(
+    private class UpstreamFailure(
         val name: String,
         val kind: ErrorKind,
         val execution: Execution,
         val upstream: RunUpstream,
     )
 
-    private val breaks =
+    private val upstreamFailures =
         listOf(
-            Break("a refused connection", ErrorKind.UpstreamFailed, Execution.NotRun) { _, _ ->
+            UpstreamFailure("a refused connection", ErrorKind.UpstreamFailed, Execution.NotRun) { _, _ ->
                 throw ConnectException("refused")
             },
-            Break("a break before the head", ErrorKind.UpstreamFailed, Execution.MayHaveRun) { _, _ ->
+            UpstreamFailure(
+                "a connection lost before the head",
+                ErrorKind.UpstreamFailed,
+                Execution.MayHaveRun,
+            ) { _, _ ->
                 throw IOException("reset")
             },
-            Break("a break in the answer", ErrorKind.UpstreamFailed, Execution.MayHaveRun) { _, sink ->
+            UpstreamFailure(
+                "a connection lost during the answer",
+                ErrorKind.UpstreamFailed,
+                Execution.MayHaveRun,
+            ) { _, sink ->
                 sink.head(200, jsonHeaders)
-                sink.chunk(letter)
+                sink.chunk(answerBody)
                 throw IOException("reset")
             },
-            Break("a stream without its closing event", ErrorKind.IncompleteAnswer, Execution.Ran) { _, sink ->
+            UpstreamFailure(
+                "a stream without its closing event",
+                ErrorKind.IncompleteAnswer,
+                Execution.Ran,
+            ) { _, sink ->
                 sink.head(200, streamHeaders)
                 sink.event("{}")
             },
-            Break("an upstream that never answers", ErrorKind.UpstreamTimeout, Execution.MayHaveRun) { _, _ ->
+            UpstreamFailure("an upstream that never answers", ErrorKind.UpstreamTimeout, Execution.MayHaveRun) { _, _ ->
                 awaitCancellation()
             },
-            Break("an upstream that stops in its answer", ErrorKind.UpstreamTimeout, Execution.MayHaveRun) { _, sink ->
+            UpstreamFailure(
+                "an upstream that stalls mid-answer",
+                ErrorKind.UpstreamTimeout,
+                Execution.MayHaveRun,
+            ) { _, sink ->
                 sink.head(200, streamHeaders)
                 sink.event("{}")
                 awaitCancellation()
@@ -186,11 +206,11 @@
         )
 
     @TestFactory
-    fun `a failed attempt says truthfully whether the upstream may have run it, and bills nothing`() =
-        breaks.map { case ->
+    fun `a failed attempt reports whether the upstream may have run it, and is not billed`() =
+        upstreamFailures.map { case ->
             dynamicTest(case.name) {
                 withAgent(case.upstream) { agent ->
-                    agent.link.deliver(order())
+                    agent.link.deliver(openAttempt())
                     expectThat(agent.link.sentOf<AnswerFailed>().failure).and {
                         get { kind }.isEqualTo(case.kind)
                         get { execution }.isEqualTo(case.execution)
@@ -203,36 +223,36 @@
         }
 
     @Test
-    fun `a cancel after the start says that the request may have run, and frees its place`() =
+    fun `an attempt cancelled after its start is reported as may have run and frees its permit`() =
         withAgent({ _, _ -> awaitCancellation() }) { agent ->
-            agent.link.deliver(order())
+            agent.link.deliver(openAttempt())
             runCurrent()
             agent.link.deliver(CancelAttempt(1))
             expectThat(agent.link.sentOf<AnswerFailed>().failure)
                 .isEqualTo(Failure(ErrorKind.CallerGone, Execution.MayHaveRun))
             runCurrent()
-            expectThat(agent.entries.load().running).isEqualTo(0)
+            expectThat(agent.entryService.load().running).isEqualTo(0)
         }
 
     @Test
-    fun `a cancel before the start is answered and the upstream never sees the attempt`() =
-        withAgent(wholeAnswer) { agent ->
-            // Both messages are there before the attempt gets its turn.
-            agent.link.deliver(order())
+    fun `an attempt cancelled before its start is refused and never reaches the upstream`() =
+        withAgent(completeAnswer) { agent ->
+            // Both messages arrive before the attempt is scheduled.
+            agent.link.deliver(openAttempt())
             agent.link.deliver(CancelAttempt(1))
             runCurrent()
             expectThat(agent.runs).isEmpty()
             expectThat(
                 agent.link.sentAlready(),
             ).isA<AttemptRefused>().get { failure.execution }.isEqualTo(Execution.NotRun)
-            expectThat(agent.entries.load().running).isEqualTo(0)
+            expectThat(agent.entryService.load().running).isEqualTo(0)
         }
 
     @Test
-    fun `a cancel while the attempt waits for its turn says that it has not run`() =
+    fun `an attempt cancelled in the wait queue is reported as not run`() =
         withAgent({ _, _ -> awaitCancellation() }, permits = 1) { agent ->
-            agent.link.deliver(order(attempt = 1))
-            agent.link.deliver(order(attempt = 2))
+            agent.link.deliver(openAttempt(attempt = 1))
+            agent.link.deliver(openAttempt(attempt = 2))
             runCurrent()
             agent.link.deliver(CancelAttempt(2))
             expectThat(agent.link.sent()).isA<AttemptRefused>().get { failure.execution }.isEqualTo(Execution.NotRun)
@@ -240,11 +260,11 @@
         }
 
     @Test
-    fun `a version withdrawn while the attempt waits for its turn is not run`() {
+    fun `an attempt whose version is withdrawn in the wait queue is not run`() {
         val release = CompletableDeferred<Unit>()
         withAgent({ _, _ -> release.await() }, permits = 1) { agent ->
-            agent.link.deliver(order(attempt = 1))
-            agent.link.deliver(order(attempt = 2))
+            agent.link.deliver(openAttempt(attempt = 1))
+            agent.link.deliver(openAttempt(attempt = 2))
             runCurrent()
             agent.control.configuration = inForce.withState(VersionState.Withdrawn)
             release.complete(Unit)
@@ -258,66 +278,66 @@
     }
 
     @Test
-    fun `a slow reader stops the reading of its own answer and of no other`() {
-        val taken = HashMap<Long, Int>()
+    fun `a slow reader blocks only its own answer`() {
+        val chunksRead = HashMap<Long, Int>()
         withAgent({ attempt, sink ->
             sink.head(200, jsonHeaders)
             repeat(10) {
                 sink.chunk(ByteArray(100))
-                taken.merge(attempt.attempt, 1, Int::plus)
+                chunksRead.merge(attempt.attempt, 1, Int::plus)
             }
         }) { agent ->
-            agent.link.deliver(order(attempt = 1, creditBytes = 250))
-            agent.link.deliver(order(attempt = 2, creditBytes = 1_000))
+            agent.link.deliver(openAttempt(attempt = 1, creditBytes = 250))
+            agent.link.deliver(openAttempt(attempt = 2, creditBytes = 1_000))
             runCurrent()
-            expectThat(taken).isEqualTo(hashMapOf(1L to 3, 2L to 10))
+            expectThat(chunksRead).isEqualTo(hashMapOf(1L to 3, 2L to 10))
             agent.link.deliver(Credit(1, 50))
             runCurrent()
-            expectThat(taken[1]).isEqualTo(3)
+            expectThat(chunksRead[1]).isEqualTo(3)
             agent.link.deliver(Credit(1, 1))
             runCurrent()
-            expectThat(taken[1]).isEqualTo(4)
+            expectThat(chunksRead[1]).isEqualTo(4)
         }
     }
 
     @Test
-    fun `when the entry is gone a request that may be repeated is cancelled`() =
+    fun `a repeatable attempt is cancelled when its entry disconnects`() =
         withAgent({ _, _ -> awaitCancellation() }) { agent ->
-            agent.link.deliver(order(repeatable = true))
+            agent.link.deliver(openAttempt(repeatable = true))
             runCurrent()
             agent.link.close()
             runCurrent()
-            expectThat(agent.entries.load().running).isEqualTo(0)
+            expectThat(agent.entryService.load().running).isEqualTo(0)
             expectThat(agent.control.committed).isEmpty()
         }
 
     @Test
-    fun `when the entry is gone a request that may not be repeated runs on and the agent settles it`() {
+    fun `an attempt that is not repeatable finishes after its entry disconnects and the agent settles it`() {
         val release = CompletableDeferred<Unit>()
         withAgent({ attempt, sink ->
             release.await()
-            wholeAnswer(attempt, sink)
+            completeAnswer(attempt, sink)
         }) { agent ->
-            agent.link.deliver(order(repeatable = false, creditBytes = 0))
+            agent.link.deliver(openAttempt(repeatable = false, creditBytes = 0))
             runCurrent()
             agent.link.close()
             runCurrent()
-            expectThat(agent.entries.load().running).isEqualTo(1)
+            expectThat(agent.entryService.load().running).isEqualTo(1)
             release.complete(Unit)
             runCurrent()
             expectThat(agent.control.committed.single()).isA<LedgerCommand.Finish>().and {
                 get { request }.isEqualTo(RequestId("r1"))
                 get { bill?.promptTokens }.isEqualTo(3)
-                get { answer?.body?.decodeToString() }.isEqualTo(letter.decodeToString())
+                get { answer?.body?.decodeToString() }.isEqualTo(answerBody.decodeToString())
             }
         }
     }
 
     @Test
-    fun `an outcome that its entry has settled is left alone, a silent entry's is settled by the agent`() =
-        withAgent(wholeAnswer) { agent ->
-            agent.link.deliver(order(attempt = 1))
-            agent.link.deliver(order(attempt = 2))
+    fun `the agent commits only outcomes that the entry has not settled in time`() =
+        withAgent(completeAnswer) { agent ->
+            agent.link.deliver(openAttempt(attempt = 1))
+            agent.link.deliver(openAttempt(attempt = 2))
             repeat(2) { agent.link.sentOf<AnswerEnd>() }
             agent.link.deliver(AttemptSettled(1))
             advanceTimeBy(SETTLE_MILLIS)
@@ -333,13 +353,13 @@
         val release = CompletableDeferred<Unit>()
         withAgent({ attempt, sink ->
             release.await()
-            wholeAnswer(attempt, sink)
+            completeAnswer(attempt, sink)
         }) { agent ->
-            agent.link.deliver(order(attempt = 1))
+            agent.link.deliver(openAttempt(attempt = 1))
             runCurrent()
-            agent.gate.leaving = true
-            val idle = launch { agent.entries.awaitIdle() }
-            agent.link.deliver(order(attempt = 2))
+            agent.admissionCheck.shuttingDown = true
+            val idle = launch { agent.entryService.awaitIdle() }
+            agent.link.deliver(openAttempt(attempt = 2))
             expectThat(agent.link.sent()).isA<AttemptRefused>().get { attempt }.isEqualTo(2)
             runCurrent()
             expectThat(idle.isActive).isTrue()
@@ -348,14 +368,14 @@
                 agent.link
                     .sentOf<AnswerChunk>()
                     .bytes.size,
-            ).isEqualTo(letter.size)
+            ).isEqualTo(answerBody.size)
             expectThat(agent.link.sentOf<AnswerEnd>().chunks).isEqualTo(1)
             idle.join()
         }
     }
 
     @Test
-    fun `a stream counts as whole by its closing event, however its bytes are cut`() {
+    fun `a stream is complete once its closing event has arrived, whatever its chunk boundaries`() {
         val stream = "data: {}\n\ndata: {\"usage\":{\"prompt_tokens\":3,\"completion_tokens\":4}}\n\ndata: [DONE]\n\n"
         (1..stream.length).forEach { size ->
             val meter = UsageMeter(streamed = true)
@@ -367,9 +387,9 @@
             expectThat(meter.usage()).isEqualTo(Usage(3, 4))
             expectThat(meter.complete).isTrue()
         }
-        val cut = UsageMeter(streamed = true).also { it.add(stream.removeSuffix("[DONE]\n\n").encodeToByteArray()) }
-        expectThat(cut.usage()).isEqualTo(Usage(3, 4))
-        expectThat(cut.complete).isFalse()
+        val partial = UsageMeter(streamed = true).also { it.add(stream.removeSuffix("[DONE]\n\n").encodeToByteArray()) }
+        expectThat(partial.usage()).isEqualTo(Usage(3, 4))
+        expectThat(partial.complete).isFalse()
         expectThat(UsageMeter(streamed = false).also { it.add("no JSON".encodeToByteArray()) }.usage())
             .isEqualTo(Usage())
     }
--- a/agent/src/test/kotlin/io/carawaytrack/agent/SettingsReferenceTest.kt
+++ b/agent/src/test/kotlin/io/carawaytrack/agent/SettingsReferenceTest.kt
@@ -1,5 +1,5 @@
 /*
- * The reference of settings and the example file, kept true to the code.
+ * Checks the settings reference and the example settings file against the code.
  */
 package io.carawaytrack.agent
 
@@ -22,7 +22,7 @@
     }
 
     @Test
-    fun `the example file is free of faults`() {
+    fun `the example file is valid`() {
         expectThat(readSettings(Path.of("../examples/penmark/agent.toml")) { agentSettings() }.getError()).isNull()
     }
 }
