--- a/agent/src/main/kotlin/io/carawaytrack/agent/Agent.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/Agent.kt
@@ -113,12 +113,15 @@
     private fun slowStartSettings(): SlowStartSettings {
         val byWarmth =
             SlowStartSettings(
-                startPermits = minOf(settings.coldPermits, settings.maxPermits),
+                initialPermits = minOf(settings.coldPermits, settings.maxPermits),
                 maxPermits = settings.maxPermits,
                 rampMillis = settings.rampMillis,
             )
         if (settings.kind == ServiceKind.Model) return byWarmth
-        return byWarmth.copy(goodFactor = NO_RELAPSE_BY_LATENCY, relapseFactor = NO_RELAPSE_BY_LATENCY)
+        return byWarmth.copy(
+            healthyLatencyFactor = NO_RELAPSE_BY_LATENCY,
+            degradedLatencyFactor = NO_RELAPSE_BY_LATENCY,
+        )
     }
 
     private fun permits(): Int = condition.permits
--- a/agent/src/main/kotlin/io/carawaytrack/agent/EntryService.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/EntryService.kt
@@ -64,7 +64,7 @@
 
     /** Refuses what comes from now on and waits until no attempt runs. */
     suspend fun awaitIdle() {
-        admission.closeForNew()
+        admission.stopAccepting()
         admission.awaitIdle()
     }
 
--- a/agent/src/test/kotlin/io/carawaytrack/agent/AgentFixture.kt
+++ b/agent/src/test/kotlin/io/carawaytrack/agent/AgentFixture.kt
@@ -117,7 +117,7 @@
         UpstreamCondition(
             upstream = upstreamId,
             scope = scope,
-            slowStart = SlowStart(SlowStartSettings(startPermits = permits, maxPermits = permits), nowMillis),
+            slowStart = SlowStart(SlowStartSettings(initialPermits = permits, maxPermits = permits), nowMillis),
             quarantine = Quarantine(NodeId("agent-1"), QuarantineSettings(), nowMillis),
             metrics = metrics,
             probe = { true },
--- a/entry/src/main/kotlin/io/carawaytrack/entry/AnswerMemory.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/AnswerMemory.kt
@@ -65,7 +65,7 @@
         stream: StreamId,
         bytes: Int,
     ) {
-        budget.awaitRoom(stream, bytes.toLong())
+        budget.awaitCapacity(stream, bytes.toLong())
         metrics.readerResumed()
     }
 
--- a/entry/src/main/kotlin/io/carawaytrack/entry/Dispatcher.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/Dispatcher.kt
@@ -59,7 +59,7 @@
         val member =
             configuration().tables.membersOf(request.route.pool).find { it.version == version }
                 ?: return Err(ErrorKind.StaleConfiguration.notRun("$version left the pool ${request.route.pool}"))
-        retries.requested()
+        retries.recordRequest()
         return Search(request, member, pinned).run()
     }
 
@@ -121,7 +121,7 @@
             if (failed.kind in finalKinds) return false
             if (failed.execution == Execution.NotRun) return true
             execution = Execution.MayHaveRun
-            return request.repeatable && repeats++ < REPEATS_AFTER_FAILURE && retries.tryRetry()
+            return request.repeatable && repeats++ < REPEATS_AFTER_FAILURE && retries.tryAcquire()
         }
 
         private fun ended(last: Failure): Result<Nothing, Failure> =
--- a/entry/src/main/kotlin/io/carawaytrack/entry/RequestHandler.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/RequestHandler.kt
@@ -120,8 +120,8 @@
             route = request.route,
             pinned = pin,
             estimatedTokens = request.estimatedTokens,
-            oneVersion = (request.session != null && pin == null) || request.streamed,
-            full = full,
+            singleVersion = (request.session != null && pin == null) || request.streamed,
+            fullVersions = full,
         ),
     )
 
@@ -217,7 +217,7 @@
         step: PlanStep,
     ): Boolean {
         val rating = rated(request, answer.version, answer.body, escalated = false) ?: return false
-        return rating >= (step.acceptRating ?: 0.0)
+        return rating >= (step.minAcceptedRating ?: 0.0)
     }
 
     private suspend fun rated(
--- a/entry/src/test/kotlin/io/carawaytrack/entry/DispatchTest.kt
+++ b/entry/src/test/kotlin/io/carawaytrack/entry/DispatchTest.kt
@@ -124,7 +124,7 @@
             configuration = { configuration },
             nowMillis = nowMillis,
             windowBytes = 1_000,
-            retries = RetryBudget(RetrySettings(leastRetries = 100), nowMillis),
+            retries = RetryBudget(RetrySettings(minRetries = 100), nowMillis),
             metrics = EntryMetrics(registry),
         )
     private val names get() = scripts.keys.toList()
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/RepeatBudgets.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/RepeatBudgets.kt
@@ -28,15 +28,15 @@
 
     /** Counts a request to [pool], when it arrives. */
     fun requested(pool: PoolName) = of(pool).let {
-        it.repeats.requested()
-        it.escalations.requested()
+        it.repeats.recordRequest()
+        it.escalations.recordRequest()
     }
 
     /** Takes one repeat after a failure; returns false when there is none. */
-    fun tryRepeat(pool: PoolName): Boolean = of(pool).repeats.tryRetry()
+    fun tryRepeat(pool: PoolName): Boolean = of(pool).repeats.tryAcquire()
 
     /** Takes one further answer by a larger model; returns false when there is none. */
-    fun tryEscalation(pool: PoolName): Boolean = of(pool).escalations.tryRetry()
+    fun tryEscalation(pool: PoolName): Boolean = of(pool).escalations.tryAcquire()
 
     private fun of(pool: PoolName) = budgets.getOrPut(pool) { Budgets(budget(REPEATED_PART), budget(ESCALATED_PART)) }
 
@@ -44,7 +44,7 @@
         val own =
             settings.copy(
                 retryRatio = settings.retryRatio * part,
-                leastRetries = maxOf(1, (settings.leastRetries * part / hosts()).toInt()),
+                minRetries = maxOf(1, (settings.minRetries * part / hosts()).toInt()),
             )
         return RetryBudget(own, nowMillis)
     }
--- a/gateway/src/test/kotlin/io/carawaytrack/gateway/GatewayTest.kt
+++ b/gateway/src/test/kotlin/io/carawaytrack/gateway/GatewayTest.kt
@@ -60,7 +60,7 @@
     private val upstreams = ArrayList<FakeUpstream>()
     private val gateway =
         Gateway(
-            GatewaySettings(callers, ZoneName("a"), RetrySettings(retryRatio = 1.0, leastRetries = 100)),
+            GatewaySettings(callers, ZoneName("a"), RetrySettings(retryRatio = 1.0, minRetries = 100)),
             vocabulary,
             group,
             { emptyList() },
--- a/limits/src/main/kotlin/io/carawaytrack/limits/AdmissionQueue.kt
+++ b/limits/src/main/kotlin/io/carawaytrack/limits/AdmissionQueue.kt
@@ -61,7 +61,7 @@
 
     /**
      * Waits for a ticket. Fails, always with `NotRun`, with `OrganisationLimit` or `PoolExhausted` and a retry hint
-     * when the queue is full or the deadline would pass, and with `ShuttingDown` after [closeForNew]. A caller that is
+     * when the queue is full or the deadline would pass, and with `ShuttingDown` after [stopAccepting]. A caller that is
      * cancelled while it waits holds nothing.
      */
     public suspend fun acquire(request: AdmissionRequest): Result<Ticket, Failure>
@@ -70,7 +70,7 @@
     public fun permitsChanged()
 
     /** Refuses every later request; those that wait still get their turn. */
-    public fun closeForNew()
+    public fun stopAccepting()
 
     /** Suspends until nothing runs or waits. */
     public suspend fun awaitIdle()
@@ -127,7 +127,7 @@
 
     override fun permitsChanged(): Unit = change { admitWaiting() }
 
-    override fun closeForNew(): Unit = change { isClosed = true }
+    override fun stopAccepting(): Unit = change { isClosed = true }
 
     override suspend fun awaitIdle() {
         held.first { it == 0 }
--- a/limits/src/main/kotlin/io/carawaytrack/limits/MemoryBudget.kt
+++ b/limits/src/main/kotlin/io/carawaytrack/limits/MemoryBudget.kt
@@ -42,7 +42,7 @@
     /** The bytes are reserved. */
     public data object Granted : MemoryDecision
 
-    /** Nothing is reserved; the stream stops reading from its source until [MemoryBudget.awaitRoom] returns. */
+    /** Nothing is reserved; the stream stops reading from its source until [MemoryBudget.awaitCapacity] returns. */
     public data object Pause : MemoryDecision
 
     /**
@@ -78,7 +78,7 @@
     public fun close(stream: StreamId)
 
     /** Suspends until [bytes] for [stream] would be granted, or the stream is closed. */
-    public suspend fun awaitRoom(
+    public suspend fun awaitCapacity(
         stream: StreamId,
         bytes: Long,
     )
@@ -206,7 +206,7 @@
         giveBack(holding.close())
     }
 
-    override suspend fun awaitRoom(
+    override suspend fun awaitCapacity(
         stream: StreamId,
         bytes: Long,
     ) {
--- a/limits/src/main/kotlin/io/carawaytrack/limits/RetryBudget.kt
+++ b/limits/src/main/kotlin/io/carawaytrack/limits/RetryBudget.kt
@@ -11,22 +11,22 @@
  * Sets up a retry budget.
  *
  * @property retryRatio retries allowed for each request of the window
- * @property leastRetries retries allowed in a window however few requests there were
+ * @property minRetries retries allowed in a window however few requests there were
  * @property windowMillis length of the window
  */
 public data class RetrySettings(
     val retryRatio: Double = 0.1,
-    val leastRetries: Int = 3,
+    val minRetries: Int = 3,
     val windowMillis: Long = 10_000,
 )
 
 /** Decides whether a request may be tried again. */
 public interface RetryBudget {
     /** Counts a request, when it is first tried. */
-    public fun requested()
+    public fun recordRequest()
 
     /** Takes one retry from the budget; returns false when there is none. */
-    public fun tryRetry(): Boolean
+    public fun tryAcquire(): Boolean
 }
 
 /** Creates a retry budget with no request counted. Threads that ask at once may pass the bound by one retry each. */
@@ -49,15 +49,15 @@
     private val sliceMillis = maxOf(1, settings.windowMillis / SLICES)
     private val slices = AtomicReferenceArray<Slice>(SLICES)
 
-    override fun requested(): Unit = currentSlice().requests.increment()
+    override fun recordRequest(): Unit = currentSlice().requests.increment()
 
-    override fun tryRetry(): Boolean {
+    override fun tryAcquire(): Boolean {
         val current = currentSlice()
         val recent =
             (0 until SLICES)
                 .mapNotNull { slices[it] }
                 .filter { it.number > current.number - SLICES }
-        val allowed = maxOf(settings.leastRetries.toDouble(), recent.sumOf { it.requests.sum() } * settings.retryRatio)
+        val allowed = maxOf(settings.minRetries.toDouble(), recent.sumOf { it.requests.sum() } * settings.retryRatio)
         if (recent.sumOf { it.retries.sum() } + 1 > allowed) return false
         current.retries.increment()
         return true
--- a/limits/src/main/kotlin/io/carawaytrack/limits/SlowStart.kt
+++ b/limits/src/main/kotlin/io/carawaytrack/limits/SlowStart.kt
@@ -9,24 +9,24 @@
 /**
  * Sets up a slow start.
  *
- * @property startPermits permits after a start, what the upstream bears when it is coldest
+ * @property initialPermits permits after a start, what the upstream bears when it is coldest
  * @property maxPermits permits once it is warm
  * @property rampMillis shortest time from a start to [maxPermits]
  * @property growth factor on the permits after a round of good requests
- * @property goodFactor a round is good while its time per token is within this factor of the learned one
+ * @property healthyLatencyFactor a round is good while its time per token is within this factor of the learned one
  * @property improvingRatio an upstream whose time per token still falls below this part of the last round's is warming
- * @property relapseFactor a request beyond this factor of the learned time per token is a sign of a relapse
+ * @property degradedLatencyFactor a request beyond this factor of the learned time per token is a sign of a relapse
  * @property relapseSigns failures that make a relapse, unless a request that began after the first one completes; signs
  * in a row that halve the permits; signs in a row, by requests that began after that, that make a relapse too
  */
 public data class SlowStartSettings(
-    val startPermits: Int = 1,
+    val initialPermits: Int = 1,
     val maxPermits: Int = 16,
     val rampMillis: Long = 10_000,
     val growth: Double = 1.5,
-    val goodFactor: Double = 1.5,
+    val healthyLatencyFactor: Double = 1.5,
     val improvingRatio: Double = 0.8,
-    val relapseFactor: Double = 3.0,
+    val degradedLatencyFactor: Double = 3.0,
     val relapseSigns: Int = 3,
 )
 
@@ -63,7 +63,7 @@
 ) : SlowStart {
     private val lock = Any()
     private var startedAtMillis = nowMillis()
-    private var proven = settings.startPermits
+    private var proven = settings.initialPermits
     private var signs = 0
     private var failures = 0
     private var firstFailureMillis = 0L
@@ -85,7 +85,7 @@
         val learned = learnedMillis
         val beganAtMillis = nowMillis() - latencyMillis
         if (beganAtMillis >= firstFailureMillis) failures = 0
-        if (learned != null && tokenMillis > learned * settings.relapseFactor) return sign(beganAtMillis)
+        if (learned != null && tokenMillis > learned * settings.degradedLatencyFactor) return sign(beganAtMillis)
         signs = 0
         if (beganAtMillis >= (suspectedAtMillis ?: Long.MAX_VALUE)) suspectedAtMillis = null
         roundMillis += tokenMillis
@@ -104,7 +104,7 @@
     /** Takes the lower of what the evidence and the ramp allow. */
     private fun currentPermits(): Int {
         val risenShare = ((nowMillis() - startedAtMillis).toDouble() / maxOf(1, settings.rampMillis)).coerceIn(0.0, 1.0)
-        val ramp = settings.startPermits + ((settings.maxPermits - settings.startPermits) * risenShare).toInt()
+        val ramp = settings.initialPermits + ((settings.maxPermits - settings.initialPermits) * risenShare).toInt()
         return minOf(proven, ramp)
     }
 
@@ -119,13 +119,13 @@
         if (suspectedAtMillis != null) return fallBack()
         signs = 0
         suspectedAtMillis = nowMillis()
-        proven = maxOf(settings.startPermits, currentPermits() / 2)
+        proven = maxOf(settings.initialPermits, currentPermits() / 2)
         clearRound()
     }
 
     private fun fallBack() {
         startedAtMillis = nowMillis()
-        proven = settings.startPermits
+        proven = settings.initialPermits
         signs = 0
         failures = 0
         suspectedAtMillis = null
@@ -150,9 +150,9 @@
         val learned = learnedMillis
         val last = lastRoundMillis
         return when {
-            learned != null -> mean <= learned * settings.goodFactor
+            learned != null -> mean <= learned * settings.healthyLatencyFactor
             last == null -> false
-            else -> mean >= last * settings.improvingRatio && mean <= last * settings.goodFactor
+            else -> mean >= last * settings.improvingRatio && mean <= last * settings.healthyLatencyFactor
         }
     }
 
--- a/limits/src/test/kotlin/io/carawaytrack/limits/AdmissionQueueTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/AdmissionQueueTest.kt
@@ -201,7 +201,7 @@
             ) {
                 enter("a 1")
                 enter("a 2")
-                queue.closeForNew()
+                queue.stopAccepting()
                 enter("b 1")
                 endOldest()
                 expectThat(order).containsExactly("a 1", "a 2")
@@ -262,7 +262,7 @@
     @Test
     fun `draining ends when the last ticket is closed, and a ticket counts once`() = bench {
         listOf("a 1", "a 2").forEach(::enter)
-        queue.closeForNew()
+        queue.stopAccepting()
         val idle = scope.async { queue.awaitIdle() }
         val first = tickets.first()
         endOldest()
--- a/limits/src/test/kotlin/io/carawaytrack/limits/MemoryBudgetTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/MemoryBudgetTest.kt
@@ -121,7 +121,7 @@
     fun `a paused stream goes on when another gives bytes back`() = runTest {
         val bench = Bench()
         (1L..3L).forEach { bench.reserve(it, 330) }
-        val room = async { bench.budget.awaitRoom(StreamId(1), 50) }
+        val room = async { bench.budget.awaitCapacity(StreamId(1), 50) }
         runCurrent()
         expectThat(room.isCompleted).isFalse()
         bench.budget.close(StreamId(2))
--- a/limits/src/test/kotlin/io/carawaytrack/limits/RetryBudgetTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/RetryBudgetTest.kt
@@ -30,11 +30,11 @@
     fun `retries are a share of recent requests`(): List<DynamicTest> = cases.map { case ->
         dynamicTest(case.name) {
             var nowMillis = 0L
-            val settings = RetrySettings(retryRatio = 0.1, leastRetries = 2, windowMillis = 10_000)
+            val settings = RetrySettings(retryRatio = 0.1, minRetries = 2, windowMillis = 10_000)
             val budget = RetryBudget(settings) { nowMillis }
-            repeat(case.requests) { budget.requested() }
+            repeat(case.requests) { budget.recordRequest() }
             nowMillis += case.laterMillis
-            expectThat((1..50).count { budget.tryRetry() }).isEqualTo(case.granted)
+            expectThat((1..50).count { budget.tryAcquire() }).isEqualTo(case.granted)
         }
     }
 }
--- a/limits/src/test/kotlin/io/carawaytrack/limits/SlowStartTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/SlowStartTest.kt
@@ -14,7 +14,7 @@
     private class Bench {
         var nowMillis = 0L
         val slowStart =
-            SlowStart(SlowStartSettings(startPermits = 2, maxPermits = 16, rampMillis = 1_000)) { nowMillis }
+            SlowStart(SlowStartSettings(initialPermits = 2, maxPermits = 16, rampMillis = 1_000)) { nowMillis }
 
         fun complete(
             count: Int,
--- a/replay/src/main/kotlin/io/carawaytrack/replay/EntryModel.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/EntryModel.kt
@@ -49,8 +49,8 @@
         route = world.spec.routeNamed(request.route),
         pinned = pinned,
         estimatedTokens = request.tokens,
-        oneVersion = request.session != null && pinned == null,
-        full = full,
+        singleVersion = request.session != null && pinned == null,
+        fullVersions = full,
     )
 
     private fun begin(
@@ -258,7 +258,7 @@
             cost += world.price(version, request.tokens)
             val latencyMillis = (events.nowMillis - queuedAtMillis).toLong()
             observe(request, version, Observation.Completed(latencyMillis, request.tokens))
-            val accept = plan.steps[step].acceptRating
+            val accept = plan.steps[step].minAcceptedRating
             if (accept != null && step < plan.steps.lastIndex) rateNow(accept) else finish()
         }
 
--- a/replay/src/main/kotlin/io/carawaytrack/replay/Policies.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Policies.kt
@@ -40,15 +40,15 @@
 private val thinSettings =
     PlannerSettings(
         priorRatings = 1e12,
-        provenRatings = 0,
+        provenAfterRatings = 0,
         newVersionShare = 0.0,
         recheckShare = 0.0,
         promisingShare = 0.0,
-        cascades = false,
+        cascadesEnabled = false,
     )
 
 /** Leaves the entry's own zone only when nothing there has room, as the chooser first did. */
-private val localFirstSettings = ChooserSettings(remoteTokensPerPermit = 1e12)
+private val localFirstSettings = ChooserSettings(crossZonePenaltyTokensPerPermit = 1e12)
 
 internal val currentPolicy = Policy("current", currentPlanner, currentChooser)
 
@@ -90,7 +90,7 @@
             request: PlanRequest,
         ): Result<Plan, Failure> {
             val route = request.route.copy(qualityTarget = target ?: request.route.qualityTarget)
-            return planner.plan(configuration, request.copy(route = route, full = emptySet()))
+            return planner.plan(configuration, request.copy(route = route, fullVersions = emptySet()))
         }
     }
 }
--- a/replay/src/main/kotlin/io/carawaytrack/replay/RolloutDriver.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/RolloutDriver.kt
@@ -10,24 +10,27 @@
 import io.carawaytrack.model.RolloutPhase
 import io.carawaytrack.model.VersionState
 import io.carawaytrack.routing.Observation
+import io.carawaytrack.routing.RolloutDecision
+import io.carawaytrack.routing.RolloutEvaluator
 import io.carawaytrack.routing.RolloutEvidence
-import io.carawaytrack.routing.RolloutJudge
-import io.carawaytrack.routing.RolloutVerdict
 import io.carawaytrack.routing.VersionTally
 
 /** Decides on a roll-out from the evidence of each period of its stage and the age of the stage in milliseconds. */
-internal typealias RolloutRule = (List<RolloutEvidence>, Double) -> RolloutVerdict
+internal typealias RolloutRule = (List<RolloutEvidence>, Double) -> RolloutDecision
 
 /** Judges after every second by the sequential test. */
-internal val sequentialRule: RolloutRule = RolloutJudge().let { judge -> { periods, _ -> judge.judge(periods) } }
+internal val sequentialRule: RolloutRule =
+    RolloutEvaluator().let { evaluator ->
+        { periods, _ -> evaluator.evaluate(periods) }
+    }
 
 /** Judges once, five minutes after a stage began, by the means. */
 internal val fixedWindowRule: RolloutRule = { periods, ageMillis ->
     val evidence = periods.fold(RolloutEvidence()) { sum, period -> sum + period }
     when {
-        ageMillis < FIXED_WINDOW_MILLIS -> RolloutVerdict.Continue
-        meanRating(evidence.to) < meanRating(evidence.from) - FIXED_WINDOW_LOSS -> RolloutVerdict.RollBack
-        else -> RolloutVerdict.Advance
+        ageMillis < FIXED_WINDOW_MILLIS -> RolloutDecision.Continue
+        meanRating(evidence.to) < meanRating(evidence.from) - FIXED_WINDOW_LOSS -> RolloutDecision.RollBack
+        else -> RolloutDecision.Advance
     }
 }
 
@@ -70,10 +73,10 @@
         if (current.phase == RolloutPhase.RolledBack || current.phase == RolloutPhase.Completed) return
         if (events.nowMillis - periodAtMillis >= PERIOD_MILLIS) beginPeriod()
         when (rule(periods, events.nowMillis - stageAtMillis)) {
-            RolloutVerdict.Continue -> setPercent(current, stagePercent)
-            RolloutVerdict.Hold -> setPercent(current, percent = 0)
-            RolloutVerdict.Advance -> advance(current)
-            RolloutVerdict.RollBack -> rollBack(current)
+            RolloutDecision.Continue -> setPercent(current, stagePercent)
+            RolloutDecision.Hold -> setPercent(current, percent = 0)
+            RolloutDecision.Advance -> advance(current)
+            RolloutDecision.RollBack -> rollBack(current)
         }
     }
 
--- a/routing/src/main/kotlin/io/carawaytrack/routing/Planner.kt
+++ b/routing/src/main/kotlin/io/carawaytrack/routing/Planner.kt
@@ -21,29 +21,29 @@
  *
  * @property pinned version of the request's session, when it has one
  * @property estimatedTokens prompt and expected answer together
- * @property oneVersion whether a cascade is out of the question: later requests will be pinned to the version that
+ * @property singleVersion whether a cascade is out of the question: later requests will be pinned to the version that
  * answers this one, or the answer is streamed and cannot wait for a rating
- * @property full versions whose upstreams have no room; they are planned only when nothing else is allowed
+ * @property fullVersions versions whose upstreams have no room; they are planned only when nothing else is allowed
  */
 public data class PlanRequest(
     val organisation: Organisation,
     val route: Route,
     val pinned: ModelVersion? = null,
     val estimatedTokens: Long = 0,
-    val oneVersion: Boolean = false,
-    val full: Set<ModelVersion> = emptySet(),
+    val singleVersion: Boolean = false,
+    val fullVersions: Set<ModelVersion> = emptySet(),
 )
 
 /**
  * Describes one step of a plan.
  *
- * @property acceptRating lowest rating at which the answer is taken; null for the last step, whose answer always is
+ * @property minAcceptedRating lowest rating at which the answer is taken; null for the last step, whose answer always is
  * @property rateAnswer whether the rating service is asked for a rating though nothing waits for it, because a
  * roll-out is being judged
  */
 public data class PlanStep(
     val version: ModelVersion,
-    val acceptRating: Double? = null,
+    val minAcceptedRating: Double? = null,
     val rateAnswer: Boolean = false,
 )
 
@@ -99,25 +99,25 @@
  *
  * @property zScore standard errors by which a plan's quality must clear the target; 1.645 is a confidence of 95 %
  * @property priorRatings ratings for which an operator's expected quality counts
- * @property provenRatings ratings from which a version counts as proven on a route
+ * @property provenAfterRatings ratings from which a version counts as proven on a route
  * @property memoryRatings ratings after which an old one has lost most of its weight
  * @property newVersionShare share of requests, 0 to 1, that try versions which are not proven yet
  * @property recheckShare share of requests, 0 to 1, that try proven versions which the plan leaves out
  * @property promisingShare share of requests, 0 to 1, for a cheaper plan that meets the target in expectation alone
  * @property unratedLimit requests that a tried version may get before another rating has come in
- * @property cascades whether a plan may have two steps
+ * @property cascadesEnabled whether a plan may have two steps
  * @property leastCascadeSaving share of a single version's cost, 0 to 1, that a cascade must save to be worth its delay
  */
 public data class PlannerSettings(
     val zScore: Double = 1.645,
     val priorRatings: Double = 10.0,
-    val provenRatings: Int = 30,
+    val provenAfterRatings: Int = 30,
     val memoryRatings: Int = 500,
     val newVersionShare: Double = 0.3,
     val recheckShare: Double = 0.02,
     val promisingShare: Double = 0.5,
     val unratedLimit: Int = 60,
-    val cascades: Boolean = true,
+    val cascadesEnabled: Boolean = true,
     val leastCascadeSaving: Double = 0.1,
 )
 
@@ -165,7 +165,7 @@
         members: List<PoolMember>,
     ): Plan = lock.withLock {
         val estimates = estimatesOf(request.route.name)
-        val choice = estimates.choice(PlanKey(members, request.route.qualityTarget, !request.oneVersion))
+        val choice = estimates.choice(PlanKey(members, request.route.qualityTarget, !request.singleVersion))
         val steps = choice.draw(random, settings)
         steps.forEach { estimates.of(it.version).unrated++ }
         Plan(steps)
--- a/routing/src/main/kotlin/io/carawaytrack/routing/PoolMembers.kt
+++ b/routing/src/main/kotlin/io/carawaytrack/routing/PoolMembers.kt
@@ -63,7 +63,7 @@
     val serving = allowed.filter { configuration.stateOf(it.version) == VersionState.Serving }
     if (serving.isEmpty()) return Err(noneServing(request, allowed))
     val rollouts = configuration.rollouts.filter { it.pool == request.route.pool }
-    return Ok(applyRollouts(rollouts, serving, request.full))
+    return Ok(applyRollouts(rollouts, serving, request.fullVersions))
 }
 
 /** Draws one of [members] in proportion to their weights. */
--- a/routing/src/main/kotlin/io/carawaytrack/routing/RolloutJudge.kt
+++ b/routing/src/main/kotlin/io/carawaytrack/routing/RolloutEvaluator.kt
@@ -67,7 +67,7 @@
 }
 
 /** Tells what to do with a roll-out. */
-public enum class RolloutVerdict {
+public enum class RolloutDecision {
     /** Stay at this stage; nothing is decided yet. */
     Continue,
 
@@ -92,7 +92,7 @@
  * @property exposureLimit requests of a stage after which an undecided roll-out is held
  * @property unratedLimit requests of a stage after which a roll-out with hardly any rating is held
  */
-public data class RolloutJudgeSettings(
+public data class RolloutEvaluatorSettings(
     val errorShare: Double = 0.01,
     val ratingLoss: Double = 0.02,
     val ratingMargin: Double = 0.05,
@@ -103,29 +103,29 @@
 )
 
 /** Judges a stage of a roll-out. */
-public interface RolloutJudge {
+public interface RolloutEvaluator {
     /**
      * Returns what to do, given what was seen in the [periods] of the stage, the oldest first. A version that turns
      * bad within the stage shows in the latest periods long before it shows in their sum.
      */
-    public fun judge(periods: List<RolloutEvidence>): RolloutVerdict
+    public fun evaluate(periods: List<RolloutEvidence>): RolloutDecision
 }
 
 /** Creates a judge that tests ratings, failures and slow answers one after another as they come in. */
-public fun RolloutJudge(settings: RolloutJudgeSettings = RolloutJudgeSettings()): RolloutJudge =
-    SequentialJudge(settings)
+public fun RolloutEvaluator(settings: RolloutEvaluatorSettings = RolloutEvaluatorSettings()): RolloutEvaluator =
+    SequentialEvaluator(settings)
 
-private class SequentialJudge(
-    private val settings: RolloutJudgeSettings,
-) : RolloutJudge {
-    override fun judge(periods: List<RolloutEvidence>): RolloutVerdict {
+private class SequentialEvaluator(
+    private val settings: RolloutEvaluatorSettings,
+) : RolloutEvaluator {
+    override fun evaluate(periods: List<RolloutEvidence>): RolloutDecision {
         val whole = periods.fold(RolloutEvidence()) { sum, period -> sum + period }
         val sinceEach = periods.map { it.to }.runningSumFromLast()
         return when {
-            sinceEach.any { isWorse(whole.from, it, sinceEach.size) } -> RolloutVerdict.RollBack
-            isNoWorse(whole.from, whole.to) -> RolloutVerdict.Advance
-            isUsedUp(whole.to) -> RolloutVerdict.Hold
-            else -> RolloutVerdict.Continue
+            sinceEach.any { isWorse(whole.from, it, sinceEach.size) } -> RolloutDecision.RollBack
+            isNoWorse(whole.from, whole.to) -> RolloutDecision.Advance
+            isUsedUp(whole.to) -> RolloutDecision.Hold
+            else -> RolloutDecision.Continue
         }
     }
 
--- a/routing/src/main/kotlin/io/carawaytrack/routing/RouteEstimates.kt
+++ b/routing/src/main/kotlin/io/carawaytrack/routing/RouteEstimates.kt
@@ -89,7 +89,7 @@
 
     private fun choose(key: PlanKey): PlanChoice {
         val singles = key.members.map { single(it) }
-        val cascades = if (key.cascades && settings.cascades) cascades(key.members) else emptyList()
+        val cascades = if (key.cascades && settings.cascadesEnabled) cascades(key.members) else emptyList()
         val plans = singles + worthwhile(cascades, singles, key.target)
         val good = plans.filter { meets(it, key.target) }
         val candidates = good.filter { it.proven }.ifEmpty { good }
@@ -147,7 +147,7 @@
     )
 
     private fun cascades(members: List<PoolMember>): List<EvaluatedPlan> =
-        members.filter { of(it.version).direct.total >= settings.provenRatings }.flatMap { first ->
+        members.filter { of(it.version).direct.total >= settings.provenAfterRatings }.flatMap { first ->
             members.filter { cost(it) > cost(first) }.flatMap { second -> cascades(first, second) }
         }
 
@@ -180,7 +180,7 @@
             key.members.filter {
                 it.version !in used && cost(it) < best.cost && of(it.version).unrated < settings.unratedLimit
             }
-        if (key.cascades && settings.cascades) {
+        if (key.cascades && settings.cascadesEnabled) {
             return cheaper.map { listOf(PlanStep(it.version, key.target), best.steps.last()) }
         }
         return cheaper.filter { mayMeet(it, key.target) }.map { listOf(PlanStep(it.version)) }
@@ -205,7 +205,7 @@
         return Estimate(own.mean, own.standardError + fromDirect)
     }
 
-    private fun isProven(version: ModelVersion): Boolean = of(version).ratings >= settings.provenRatings
+    private fun isProven(version: ModelVersion): Boolean = of(version).ratings >= settings.provenAfterRatings
 
     private fun cost(member: PoolMember): Double {
         val known = versions.values.mapNotNull { it.tokens.mean }
--- a/routing/src/main/kotlin/io/carawaytrack/routing/UpstreamChooser.kt
+++ b/routing/src/main/kotlin/io/carawaytrack/routing/UpstreamChooser.kt
@@ -70,11 +70,11 @@
  * Tunes the choice of upstreams.
  *
  * @property retryAfterMillis hint given when every upstream of a version is full
- * @property remoteTokensPerPermit outstanding tokens for each permit by which an upstream in another zone must be less
+ * @property crossZonePenaltyTokensPerPermit outstanding tokens for each permit by which an upstream in another zone must be less
  * busy to be taken before a local one
  */
 public data class ChooserSettings(
-    val remoteTokensPerPermit: Double = 30.0,
+    val crossZonePenaltyTokensPerPermit: Double = 30.0,
     val retryAfterMillis: Long = 1_000,
 )
 
@@ -141,7 +141,7 @@
 
     private fun burden(candidate: UpstreamView): Double {
         val isLocal = candidate.announcement.zone == zone
-        return candidate.tokensPerPermit + if (isLocal) 0.0 else settings.remoteTokensPerPermit
+        return candidate.tokensPerPermit + if (isLocal) 0.0 else settings.crossZonePenaltyTokensPerPermit
     }
 
     private fun noneDetail(version: ModelVersion) =
--- a/routing/src/test/kotlin/io/carawaytrack/routing/LearningPlannerTest.kt
+++ b/routing/src/test/kotlin/io/carawaytrack/routing/LearningPlannerTest.kt
@@ -23,7 +23,7 @@
         val name: String,
         val smallRatings: List<Double>,
         val expected: List<ModelVersion>,
-        val oneVersion: Boolean = false,
+        val singleVersion: Boolean = false,
     )
 
     private val mixed = List(120) { if (it % 4 == 0) 0.3 else 0.95 }
@@ -44,7 +44,7 @@
                 Planner(Random(3), PlannerSettings(newVersionShare = 0.0, recheckShare = 0.0, promisingShare = 0.0))
             repeat(200) { planner.observe("draft", large, Observation.Rated(0.94 + it % 2 * 0.02)) }
             case.smallRatings.forEach { planner.observe("draft", small, Observation.Rated(it)) }
-            expectThat(planner.versions(case.oneVersion)).isEqualTo(case.expected)
+            expectThat(planner.versions(case.singleVersion)).isEqualTo(case.expected)
         }
     }
 
@@ -90,8 +90,8 @@
         expectThat(plans.count { it.steps.first().version == small }).isIn(690..810)
     }
 
-    private fun Planner.versions(oneVersion: Boolean = false): List<ModelVersion> {
-        val request = PlanRequest(organisation("*@*"), draftRoute(target = 0.85), oneVersion = oneVersion)
+    private fun Planner.versions(singleVersion: Boolean = false): List<ModelVersion> {
+        val request = PlanRequest(organisation("*@*"), draftRoute(target = 0.85), singleVersion = singleVersion)
         return plan(
             configuration,
             request,
--- a/routing/src/test/kotlin/io/carawaytrack/routing/RolloutJudgeTest.kt
+++ b/routing/src/test/kotlin/io/carawaytrack/routing/RolloutEvaluatorTest.kt
@@ -12,46 +12,46 @@
 import strikt.assertions.isLessThanOrEqualTo
 import kotlin.random.Random
 
-class RolloutJudgeTest {
+class RolloutEvaluatorTest {
     private data class Case(
         val name: String,
         val to: VersionTally,
-        val expected: RolloutVerdict,
+        val expected: RolloutDecision,
     )
 
     private val old = tally(exposed = 1_000, rating = 0.85, ratings = 400, failed = 5, slow = 20)
 
     private val cases =
         listOf(
-            Case("continues before anything was seen", VersionTally(), RolloutVerdict.Continue),
-            Case("continues on a few ratings that look alike", tally(30, 0.85, 10), RolloutVerdict.Continue),
-            Case("advances when a loss is ruled out", tally(900, 0.86, 400), RolloutVerdict.Advance),
-            Case("rolls back on a few very bad ratings", tally(40, 0.45, 12), RolloutVerdict.RollBack),
-            Case("rolls back when most requests fail", tally(8, 0.85, 0, failed = 7), RolloutVerdict.RollBack),
-            Case("rolls back when most answers are slow", tally(60, 0.85, 20, slow = 50), RolloutVerdict.RollBack),
-            Case("holds when ratings fail to come in", tally(150, 0.85, 3), RolloutVerdict.Hold),
-            Case("holds when a stage has used up its requests", tally(2_000, 0.85, 40), RolloutVerdict.Hold),
-            Case("does not advance on ratings alone", tally(300, 0.86, 400, failed = 9), RolloutVerdict.Continue),
+            Case("continues before anything was seen", VersionTally(), RolloutDecision.Continue),
+            Case("continues on a few ratings that look alike", tally(30, 0.85, 10), RolloutDecision.Continue),
+            Case("advances when a loss is ruled out", tally(900, 0.86, 400), RolloutDecision.Advance),
+            Case("rolls back on a few very bad ratings", tally(40, 0.45, 12), RolloutDecision.RollBack),
+            Case("rolls back when most requests fail", tally(8, 0.85, 0, failed = 7), RolloutDecision.RollBack),
+            Case("rolls back when most answers are slow", tally(60, 0.85, 20, slow = 50), RolloutDecision.RollBack),
+            Case("holds when ratings fail to come in", tally(150, 0.85, 3), RolloutDecision.Hold),
+            Case("holds when a stage has used up its requests", tally(2_000, 0.85, 40), RolloutDecision.Hold),
+            Case("does not advance on ratings alone", tally(300, 0.86, 400, failed = 9), RolloutDecision.Continue),
         )
 
     @TestFactory
-    fun `judge`(): List<DynamicTest> = cases.map { case ->
+    fun `evaluate`(): List<DynamicTest> = cases.map { case ->
         dynamicTest(case.name) {
-            expectThat(RolloutJudge().judge(listOf(RolloutEvidence(old, case.to)))).isEqualTo(case.expected)
+            expectThat(RolloutEvaluator().evaluate(listOf(RolloutEvidence(old, case.to)))).isEqualTo(case.expected)
         }
     }
 
     @Test
-    fun `judge rolls back on the latest period though the stage as a whole is undecided`() {
+    fun `evaluate rolls back on the latest period though the stage as a whole is undecided`() {
         val good = RolloutEvidence(old, tally(400, 0.86, 150))
         val bad = RolloutEvidence(old, tally(20, 0.45, 12))
-        expectThat(RolloutJudge().judge(listOf(good + bad))).isEqualTo(RolloutVerdict.Continue)
-        expectThat(RolloutJudge().judge(listOf(good, bad))).isEqualTo(RolloutVerdict.RollBack)
+        expectThat(RolloutEvaluator().evaluate(listOf(good + bad))).isEqualTo(RolloutDecision.Continue)
+        expectThat(RolloutEvaluator().evaluate(listOf(good, bad))).isEqualTo(RolloutDecision.RollBack)
     }
 
     @Test
-    fun `judge rolls back an equal version in at most one of a hundred stages though asked after every rating`() {
-        val rolledBack = (1..400).count { seed -> RolloutVerdict.RollBack in verdictsOnEqualVersions(Random(seed)) }
+    fun `evaluate rolls back an equal version in at most one of a hundred stages though asked after every rating`() {
+        val rolledBack = (1..400).count { seed -> RolloutDecision.RollBack in verdictsOnEqualVersions(Random(seed)) }
         expectThat(rolledBack).isLessThanOrEqualTo(4)
     }
 
@@ -65,14 +65,14 @@
         expectThat(whole.slow).isEqualTo(1)
     }
 
-    private fun verdictsOnEqualVersions(random: Random): List<RolloutVerdict> {
+    private fun verdictsOnEqualVersions(random: Random): List<RolloutDecision> {
         val periods = ArrayDeque<RolloutEvidence>()
         return List(500) { index ->
             if (index % 50 == 0) periods.addLast(RolloutEvidence())
             val from = periods.last().from.plus(Observation.Rated(0.6 + 0.4 * random.nextDouble()), 50.0)
             val to = periods.last().to.plus(Observation.Rated(0.6 + 0.4 * random.nextDouble()), 50.0)
             periods[periods.lastIndex] = RolloutEvidence(from, to)
-            RolloutJudge().judge(periods)
+            RolloutEvaluator().evaluate(periods)
         }
     }
 
