--- a/routing/src/main/kotlin/io/carawaytrack/routing/Planner.kt
+++ b/routing/src/main/kotlin/io/carawaytrack/routing/Planner.kt
@@ -1,6 +1,6 @@
 /*
- * The first decision that an entry takes for each request: which versions may run it and in which order. It is pure:
- * randomness and observations come in as arguments.
+ * Request planning, the first decision of an entry for each request: which versions may run it and in which order. The
+ * planner has no side effects outside itself; the source of randomness and the observations are passed in.
  */
 package io.carawaytrack.routing
 
@@ -17,13 +17,13 @@
 import kotlin.random.Random
 
 /**
- * Describes what the planner must know of a request.
+ * Describes a request to the planner.
  *
- * @property pinned version of the request's session, when it has one
- * @property estimatedTokens prompt and expected answer together
- * @property singleVersion whether a cascade is out of the question: later requests will be pinned to the version that
- * answers this one, or the answer is streamed and cannot wait for a rating
- * @property fullVersions versions whose upstreams have no room; they are planned only when nothing else is allowed
+ * @property pinned version that the request's session is pinned to, if any
+ * @property estimatedTokens estimated tokens of the prompt and the answer together
+ * @property singleVersion whether a cascade is ruled out, because later requests will be pinned to the version that
+ * answers this one, or because the answer is streamed and cannot wait for a rating
+ * @property fullVersions versions whose upstreams have no free capacity; planned only when no other version is allowed
  */
 public data class PlanRequest(
     val organisation: Organisation,
@@ -37,9 +37,9 @@
 /**
  * Describes one step of a plan.
  *
- * @property minAcceptedRating lowest rating at which the answer is taken; null for the last step, whose answer always is
- * @property rateAnswer whether the rating service is asked for a rating though nothing waits for it, because a
- * roll-out is being judged
+ * @property minAcceptedRating lowest rating at which the answer is accepted; null for the last step, whose answer is
+ * always accepted
+ * @property rateAnswer whether to request a rating for the evaluation of a roll-out, though the plan does not need one
  */
 public data class PlanStep(
     val version: ModelVersion,
@@ -47,24 +47,25 @@
     val rateAnswer: Boolean = false,
 )
 
-/** Lists the versions to try, cheapest first; one step is a plain choice, more are a cascade. */
+/** Lists the versions to try, cheapest first; a plan with more than one step is a cascade. */
 public data class Plan(
     val steps: List<PlanStep>,
 )
 
-/** Tells how an attempt ended, for the estimates of its version. */
+/** Describes the outcome of an attempt, as input to the estimates of its version. */
 public sealed interface Observation {
     /**
-     * The rating service rated an answer, from 0 to 1.
+     * The rating service rated an answer.
      *
-     * @property escalated whether the answer was to a request for which a cheaper version's answer was not taken
+     * @property rating rating from 0 to 1
+     * @property escalated whether a cheaper version's answer to the same request had been rejected before
      */
     public data class Rated(
         val rating: Double,
         val escalated: Boolean = false,
     ) : Observation
 
-    /** The answer was complete. */
+    /** The version completed the answer. */
     public data class Completed(
         val latencyMillis: Long,
         val tokens: Long,
@@ -77,16 +78,16 @@
 /** Chooses the cheapest plan whose expected quality meets the route's target. */
 public interface Planner {
     /**
-     * Returns the plan for [request] under [configuration]. Fails with `NotAllowed` when the organisation allows no
-     * version of the pool, with `SessionVersionWithdrawn` when the pinned version may not run any more, and with
-     * `NoHealthyUpstream` when every allowed version is draining or withdrawn.
+     * Returns the plan for [request] under [configuration]. Fails with `NotAllowed` when the organisation may use no
+     * version of the pool, with `SessionVersionWithdrawn` when the pinned version is withdrawn or not in the pool, and
+     * with `NoHealthyUpstream` when every allowed version is draining or withdrawn.
      */
     public fun plan(
         configuration: Configuration,
         request: PlanRequest,
     ): Result<Plan, Failure>
 
-    /** Takes in what was seen of [version] on the route named [route]. */
+    /** Updates the estimates of [version] on the route named [route]. */
     public fun observe(
         route: String,
         version: ModelVersion,
@@ -95,33 +96,35 @@
 }
 
 /**
- * Tunes the plans.
+ * Configures the planner.
  *
- * @property zScore standard errors by which a plan's quality must clear the target; 1.645 is a confidence of 95 %
- * @property priorRatings ratings for which an operator's expected quality counts
+ * @property zScore standard errors by which a plan's quality must exceed the target; 1.645 is a confidence of 95 %
+ * @property priorRatings number of ratings that the operator's expected quality weighs as much as
  * @property provenAfterRatings ratings from which a version counts as proven on a route
- * @property memoryRatings ratings after which an old one has lost most of its weight
+ * @property decayRatings ratings after which the weight of an observation has fallen to about 37 %
  * @property newVersionShare share of requests, 0 to 1, that try versions which are not proven yet
- * @property recheckShare share of requests, 0 to 1, that try proven versions which the plan leaves out
- * @property promisingShare share of requests, 0 to 1, for a cheaper plan that meets the target in expectation alone
- * @property unratedLimit requests that a tried version may get before another rating has come in
+ * @property recheckShare share of requests, 0 to 1, that try proven versions which the best plan does not use
+ * @property promisingShare share of requests, 0 to 1, that use a cheaper plan whose expected quality meets the target,
+ * whatever its confidence
+ * @property maxUnratedRequests requests planned for a version on trial without a new rating, after which trials stop
  * @property cascadesEnabled whether a plan may have two steps
- * @property leastCascadeSaving share of a single version's cost, 0 to 1, that a cascade must save to be worth its delay
+ * @property minCascadeSavingRatio share of a single version's cost, 0 to 1, that a cascade must save to justify its
+ * additional latency
  */
 public data class PlannerSettings(
     val zScore: Double = 1.645,
     val priorRatings: Double = 10.0,
     val provenAfterRatings: Int = 30,
-    val memoryRatings: Int = 500,
+    val decayRatings: Int = 500,
     val newVersionShare: Double = 0.3,
     val recheckShare: Double = 0.02,
     val promisingShare: Double = 0.5,
-    val unratedLimit: Int = 60,
+    val maxUnratedRequests: Int = 60,
     val cascadesEnabled: Boolean = true,
-    val leastCascadeSaving: Double = 0.1,
+    val minCascadeSavingRatio: Double = 0.1,
 )
 
-/** Creates a planner that draws roll-out shares, weights and trials from [random]; it may be shared by threads. */
+/** Creates a thread-safe planner that draws roll-out shares, weights and trials from [random]. */
 public fun Planner(
     random: Random,
     settings: PlannerSettings = PlannerSettings(),
@@ -140,7 +143,7 @@
         if (request.pinned != null) {
             Plan(listOf(PlanStep(request.pinned)))
         } else {
-            eligible.afterRollouts(shardOf(request.route.name).plan(request, eligible.members), random)
+            eligible.withRollouts(shardOf(request.route.name).plan(request, eligible.members), random)
         }
     }
 
@@ -167,7 +170,7 @@
         val estimates = estimatesOf(request.route.name)
         val choice = estimates.choice(PlanKey(members, request.route.qualityTarget, !request.singleVersion))
         val steps = choice.draw(random, settings)
-        steps.forEach { estimates.of(it.version).unrated++ }
+        steps.forEach { estimates.of(it.version).plannedSinceRating++ }
         Plan(steps)
     }
 
--- a/routing/src/main/kotlin/io/carawaytrack/routing/PoolMembers.kt
+++ b/routing/src/main/kotlin/io/carawaytrack/routing/PoolMembers.kt
@@ -1,6 +1,6 @@
 /*
- * Which members of a pool may run a request: those of the pool and of the pools it includes, allowed to the
- * organisation, in a state that takes the request, and not held back by a roll-out that has not reached them.
+ * Selection of the pool members that may run a request: members of the pool and of the pools it includes, allowed for
+ * the organisation, in a state that accepts the request, and not reserved for a roll-out that has not reached them.
  */
 package io.carawaytrack.routing
 
@@ -19,39 +19,39 @@
 import io.carawaytrack.model.notRun
 import kotlin.random.Random
 
-private const val WHOLE_PERCENT = 100
+private const val ALL_PERCENT = 100
 
-/** Holds the members that may run one request, and the roll-outs among them. */
+/** Holds the members that may run one request, and the roll-outs between them. */
 internal class EligibleMembers(
     val members: List<PoolMember>,
     private val replacements: Map<ModelVersion, Replacement>,
-    private val judged: Set<ModelVersion>,
+    private val evaluated: Set<ModelVersion>,
 ) {
-    /** Returns [plan] with each step's version replaced by the share of its roll-out. */
-    fun afterRollouts(
+    /** Returns [plan] with the version of each step replaced for the percentage of requests set by its roll-out. */
+    fun withRollouts(
         plan: Plan,
         random: Random,
-    ): Plan = withRatings(Plan(plan.steps.map { it.copy(version = afterRollout(it.version, random)) }))
+    ): Plan = withRatingRequests(Plan(plan.steps.map { it.copy(version = replacementFor(it.version, random)) }))
 
-    /** Returns [plan] with ratings asked for wherever a version runs that a roll-out is bringing in. */
-    fun withRatings(plan: Plan): Plan = Plan(plan.steps.map { it.copy(rateAnswer = it.version in judged) })
+    /** Returns [plan] with ratings requested for every step whose version is the target of an active roll-out. */
+    fun withRatingRequests(plan: Plan): Plan = Plan(plan.steps.map { it.copy(rateAnswer = it.version in evaluated) })
 
-    private fun afterRollout(
+    private fun replacementFor(
         version: ModelVersion,
         random: Random,
     ): ModelVersion {
         val replacement = replacements[version] ?: return version
-        return if (random.nextInt(WHOLE_PERCENT) < replacement.percent) replacement.version else version
+        return if (random.nextInt(ALL_PERCENT) < replacement.percent) replacement.version else version
     }
 }
 
-/** Says which version takes [percent] of the new requests that would use another. */
+/** Describes the version that receives [percent] of the new requests planned for another version. */
 internal class Replacement(
     val version: ModelVersion,
     val percent: Int,
 )
 
-/** Returns the members that may run [request], the pinned one alone when the request has a pin. */
+/** Returns the members that may run [request]; when the request is pinned, only the pinned version. */
 internal fun eligibleMembers(
     configuration: Configuration,
     request: PlanRequest,
@@ -67,17 +67,17 @@
 }
 
 /** Draws one of [members] in proportion to their weights. */
-internal fun byWeight(
+internal fun drawByWeight(
     members: List<PoolMember>,
     random: Random,
 ): PoolMember {
     if (members.size == 1) return members.first()
     val total = members.sumOf { it.weight.coerceAtLeast(0) }
     if (total == 0) return members.first()
-    var left = random.nextInt(total)
+    var remaining = random.nextInt(total)
     return members.first { member ->
-        left -= member.weight.coerceAtLeast(0)
-        left < 0
+        remaining -= member.weight.coerceAtLeast(0)
+        remaining < 0
     }
 }
 
@@ -92,13 +92,13 @@
     if (member == null || configuration.stateOf(pinned) == VersionState.Withdrawn) {
         return Err(ErrorKind.SessionVersionWithdrawn.notRun("the session runs on $pinned, which is withdrawn"))
     }
-    return Ok(EligibleMembers(listOf(member), emptyMap(), judged(configuration.rollouts)))
+    return Ok(EligibleMembers(listOf(member), emptyMap(), evaluated(configuration.rollouts)))
 }
 
 private fun applyRollouts(
     rollouts: List<Rollout>,
     serving: List<PoolMember>,
-    full: Set<ModelVersion>,
+    fullVersions: Set<ModelVersion>,
 ): EligibleMembers {
     val versions = serving.map { it.version }.toSet()
     val replacements = LinkedHashMap<ModelVersion, Replacement>()
@@ -107,32 +107,32 @@
             replacements[rollout.from] = Replacement(rollout.to, shareOf(rollout))
         }
     }
-    val held = replacements.values.map { it.version }.toSet()
-    val direct = serving.filter { it.version !in held }.ifEmpty { serving }
-    val roomy = direct.filter { it.version !in full }
+    val targets = replacements.values.map { it.version }.toSet()
+    val direct = serving.filter { it.version !in targets }.ifEmpty { serving }
+    val available = direct.filter { it.version !in fullVersions }
     return EligibleMembers(
-        roomy.ifEmpty { direct },
-        replacements.filterValues { it.version !in full },
-        judged(rollouts),
+        available.ifEmpty { direct },
+        replacements.filterValues { it.version !in fullVersions },
+        evaluated(rollouts),
     )
 }
 
-private fun judged(rollouts: List<Rollout>): Set<ModelVersion> =
+private fun evaluated(rollouts: List<Rollout>): Set<ModelVersion> =
     rollouts.filter { it.phase == RolloutPhase.Running || it.phase == RolloutPhase.Paused }.map { it.to }.toSet()
 
 private fun shareOf(rollout: Rollout): Int = when (rollout.phase) {
     RolloutPhase.Running, RolloutPhase.Paused -> rollout.percent
-    RolloutPhase.Completed -> WHOLE_PERCENT
+    RolloutPhase.Completed -> ALL_PERCENT
     RolloutPhase.RolledBack -> 0
 }
 
 private fun notAllowed(request: PlanRequest): Failure = ErrorKind.NotAllowed.notRun(
-    "organisation ${request.organisation.name} allows no version of pool ${request.route.pool}",
+    "organisation ${request.organisation.name} is not allowed any version of pool ${request.route.pool}",
 )
 
 private fun noneServing(
     request: PlanRequest,
     allowed: List<PoolMember>,
 ): Failure = ErrorKind.NoHealthyUpstream.notRun(
-    "pool ${request.route.pool} has ${allowed.size} allowed versions, none of them serving new requests",
+    "pool ${request.route.pool} has ${allowed.size} allowed versions, none of them accepts new requests",
 )
--- a/routing/src/main/kotlin/io/carawaytrack/routing/RolloutEvaluator.kt
+++ b/routing/src/main/kotlin/io/carawaytrack/routing/RolloutEvaluator.kt
@@ -1,8 +1,8 @@
 /*
- * Decides whether a roll-out goes on, from sums that any number of entries can add up. The test is sequential: it may
- * be asked after every observation without losing its stated error, so that a bad version is left as soon as the
- * evidence is there and not when a window ends. It uses the normal mixture confidence sequence for the difference of
- * two means (Robbins 1970; Johari, Pekelis and Walsh 2015).
+ * Decides whether a roll-out continues, from tallies that can be summed over any number of entries. The test is
+ * sequential: it may be evaluated after every observation without exceeding its significance level, so that a bad
+ * version is rolled back as soon as the evidence suffices instead of at the end of a fixed window. It uses the normal
+ * mixture confidence sequence for the difference of two means (Robbins 1970; Johari, Pekelis and Walsh 2015).
  */
 package io.carawaytrack.routing
 
@@ -10,10 +10,10 @@
 import kotlin.math.sqrt
 
 /**
- * Sums what was seen of one version since a stage of its roll-out began; tallies of several entries add up.
+ * Counts the observations of one version since a stage of its roll-out began; tallies of several entries can be summed.
  *
- * @property exposed requests sent to the version
- * @property slow complete answers that took longer than the operator's bound
+ * @property exposed attempts that the version completed or failed
+ * @property slow complete answers that took longer than the operator's limit
  */
 public data class VersionTally(
     val exposed: Long = 0,
@@ -24,7 +24,7 @@
     val ratingSum: Double = 0.0,
     val ratingSquareSum: Double = 0.0,
 ) {
-    /** Adds what another entry saw. */
+    /** Returns the sum of this tally and that of another entry. */
     public operator fun plus(other: VersionTally): VersionTally = VersionTally(
         exposed = exposed + other.exposed,
         completed = completed + other.completed,
@@ -35,7 +35,7 @@
         ratingSquareSum = ratingSquareSum + other.ratingSquareSum,
     )
 
-    /** Adds one observation; an answer is slow when it took over [slowMillisPerToken] for each token. */
+    /** Returns this tally with one more observation; an answer over [slowMillisPerToken] for each token is slow. */
     public fun plus(
         observation: Observation,
         slowMillisPerToken: Double,
@@ -56,62 +56,63 @@
     }
 }
 
-/** Holds what was seen, over the same time, of the version that is replaced and of the one that replaces it. */
+/** Holds the tallies, over the same period, of the version that is replaced and of the one that replaces it. */
 public data class RolloutEvidence(
     val from: VersionTally = VersionTally(),
     val to: VersionTally = VersionTally(),
 ) {
-    /** Adds what was seen over another time. */
+    /** Returns the sum of the evidence of two periods. */
     public operator fun plus(other: RolloutEvidence): RolloutEvidence =
         RolloutEvidence(from + other.from, to + other.to)
 }
 
-/** Tells what to do with a roll-out. */
+/** Decision on the stage of a roll-out. */
 public enum class RolloutDecision {
-    /** Stay at this stage; nothing is decided yet. */
+    /** Stay at this stage: the evidence does not suffice for another decision. */
     Continue,
 
-    /** Go on to the next stage. */
+    /** Move on to the next stage. */
     Advance,
 
-    /** Send no further request until more ratings are in. */
+    /** Send no more requests to the new version until more ratings have arrived. */
     Hold,
 
-    /** Go back; the new version is worse. */
+    /** Return to the old version: the new one is worse. */
     RollBack,
 }
 
 /**
- * Tunes the verdicts.
+ * Configures the evaluator.
  *
- * @property errorShare probability that a version no worse than the old one is ever rolled back in a stage
- * @property ratingLoss loss of mean rating from which a version counts as worse
- * @property ratingMargin loss of mean rating that is ruled out before a stage is passed
- * @property failureMargin rise of the share of failures, 0 to 1, that is ruled out before a stage is passed
- * @property slowMargin rise of the share of slow answers, 0 to 1, that is ruled out before a stage is passed
- * @property exposureLimit requests of a stage after which an undecided roll-out is held
- * @property unratedLimit requests of a stage after which a roll-out with hardly any rating is held
+ * @property significanceLevel probability that a version no worse than the old one is ever rolled back in a stage
+ * @property ratingLossThreshold loss of mean rating from which a version counts as worse
+ * @property ratingMargin loss of mean rating that must be ruled out before a stage advances
+ * @property failureMargin rise of the failure rate, 0 to 1, that must be ruled out before a stage advances
+ * @property slowMargin rise of the rate of slow answers, 0 to 1, that must be ruled out before a stage advances, and
+ * from which a version counts as worse
+ * @property maxExposedRequests requests of a stage after which an undecided roll-out is held
+ * @property maxUnratedRequests requests of a stage after which a roll-out with too few ratings is held
  */
 public data class RolloutEvaluatorSettings(
-    val errorShare: Double = 0.01,
-    val ratingLoss: Double = 0.02,
+    val significanceLevel: Double = 0.01,
+    val ratingLossThreshold: Double = 0.02,
     val ratingMargin: Double = 0.05,
     val failureMargin: Double = 0.05,
     val slowMargin: Double = 0.1,
-    val exposureLimit: Long = 2_000,
-    val unratedLimit: Long = 150,
+    val maxExposedRequests: Long = 2_000,
+    val maxUnratedRequests: Long = 150,
 )
 
-/** Judges a stage of a roll-out. */
+/** Evaluates a stage of a roll-out. */
 public interface RolloutEvaluator {
     /**
-     * Returns what to do, given what was seen in the [periods] of the stage, the oldest first. A version that turns
-     * bad within the stage shows in the latest periods long before it shows in their sum.
+     * Returns the decision on a stage from the evidence of its [periods], the oldest first. The periods are kept apart
+     * because a version that degrades within the stage shows in the latest periods long before it shows in their sum.
      */
     public fun evaluate(periods: List<RolloutEvidence>): RolloutDecision
 }
 
-/** Creates a judge that tests ratings, failures and slow answers one after another as they come in. */
+/** Creates an evaluator that applies sequential tests to ratings, failures and slow answers. */
 public fun RolloutEvaluator(settings: RolloutEvaluatorSettings = RolloutEvaluatorSettings()): RolloutEvaluator =
     SequentialEvaluator(settings)
 
@@ -120,94 +121,100 @@
 ) : RolloutEvaluator {
     override fun evaluate(periods: List<RolloutEvidence>): RolloutDecision {
         val whole = periods.fold(RolloutEvidence()) { sum, period -> sum + period }
-        val sinceEach = periods.map { it.to }.runningSumFromLast()
+        val suffixes = periods.map { it.to }.suffixSums()
         return when {
-            sinceEach.any { isWorse(whole.from, it, sinceEach.size) } -> RolloutDecision.RollBack
+            suffixes.any { isWorse(whole.from, it, suffixes.size) } -> RolloutDecision.RollBack
             isNoWorse(whole.from, whole.to) -> RolloutDecision.Advance
-            isUsedUp(whole.to) -> RolloutDecision.Hold
+            isExhausted(whole.to) -> RolloutDecision.Hold
             else -> RolloutDecision.Continue
         }
     }
 
-    /** Tests one of [starts] stretches of the stage; they share the error between them. */
+    /** Tests one of [suffixCount] suffixes of the stage; they divide the significance level between them. */
     private fun isWorse(
         old: VersionTally,
         new: VersionTally,
-        starts: Int,
+        suffixCount: Int,
     ): Boolean {
-        val errorShare = settings.errorShare / starts
-        return ratingRise(old, new, errorShare).endInclusive < -settings.ratingLoss ||
-            rise(failures(old), failures(new), errorShare).start > 0.0 ||
-            rise(slowness(old), slowness(new), errorShare).start > settings.slowMargin
+        val significanceLevel = settings.significanceLevel / suffixCount
+        return ratingRise(old, new, significanceLevel).endInclusive < -settings.ratingLossThreshold ||
+            rise(failures(old), failures(new), significanceLevel).start > 0.0 ||
+            rise(slowAnswers(old), slowAnswers(new), significanceLevel).start > settings.slowMargin
     }
 
     private fun isNoWorse(
         old: VersionTally,
         new: VersionTally,
-    ): Boolean = ratingRise(old, new, settings.errorShare).start > -settings.ratingMargin &&
-        rise(failures(old), failures(new), settings.errorShare).endInclusive < settings.failureMargin &&
-        rise(slowness(old), slowness(new), settings.errorShare).endInclusive < settings.slowMargin
+    ): Boolean = ratingRise(old, new, settings.significanceLevel).start > -settings.ratingMargin &&
+        rise(failures(old), failures(new), settings.significanceLevel).endInclusive < settings.failureMargin &&
+        rise(slowAnswers(old), slowAnswers(new), settings.significanceLevel).endInclusive < settings.slowMargin
 
     /** Returns for each period the sum of itself and all later ones. */
-    private fun List<VersionTally>.runningSumFromLast(): List<VersionTally> =
+    private fun List<VersionTally>.suffixSums(): List<VersionTally> =
         asReversed().runningReduce { sum, tally -> sum + tally }
 
-    private fun isUsedUp(tally: VersionTally): Boolean {
-        val isUnrated = tally.ratings < LEAST_RATINGS && tally.exposed >= settings.unratedLimit
-        return isUnrated || tally.exposed >= settings.exposureLimit
+    private fun isExhausted(tally: VersionTally): Boolean {
+        val lacksRatings = tally.ratings < MIN_RATINGS && tally.exposed >= settings.maxUnratedRequests
+        return lacksRatings || tally.exposed >= settings.maxExposedRequests
     }
 
     /**
-     * Returns the interval that holds the rise of the mean from [old] to [new] at all times, but for the error share;
-     * a third of that falls to each of the three tests.
+     * Returns an interval that contains the rise of the mean from [old] to [new] at all times, with an error
+     * probability of [significanceLevel] divided by the number of tests.
      */
     private fun rise(
         old: Sample,
         new: Sample,
-        errorShare: Double,
+        significanceLevel: Double,
     ): ClosedFloatingPointRange<Double> {
-        if (old.count < LEAST_RATINGS || new.count < LEAST_SAMPLE) return -1.0..1.0
+        if (old.count < MIN_RATINGS || new.count < MIN_NEW_SAMPLE) return -1.0..1.0
         val variance = old.variance / old.count + new.variance / new.count
-        val mixed = variance + MIXTURE_DEVIATION * MIXTURE_DEVIATION
-        val spread = variance * mixed / (MIXTURE_DEVIATION * MIXTURE_DEVIATION)
-        val radius = sqrt(spread * (2 * ln(TESTS / errorShare) + ln(mixed / variance)))
+        val mixtureVariance = variance + MIXTURE_DEVIATION * MIXTURE_DEVIATION
+        val scaledVariance = variance * mixtureVariance / (MIXTURE_DEVIATION * MIXTURE_DEVIATION)
+        val radius = sqrt(scaledVariance * (2 * ln(TEST_COUNT / significanceLevel) + ln(mixtureVariance / variance)))
         val difference = new.mean - old.mean
         return difference - radius..difference + radius
     }
 
-    /** Returns the rise of the mean rating; the few ratings of [new] are taken to scatter much as those of [old] do. */
+    /**
+     * Returns the interval of the rise of the mean rating. The variance of [old] serves as the prior variance of [new],
+     * which may have few ratings.
+     */
     private fun ratingRise(
         old: VersionTally,
         new: VersionTally,
-        errorShare: Double,
+        significanceLevel: Double,
     ): ClosedFloatingPointRange<Double> {
-        val known = ratings(old, UNKNOWN_VARIANCE)
-        return rise(known, ratings(new, known.variance), errorShare)
+        val oldSample = ratings(old, DEFAULT_RATING_VARIANCE)
+        return rise(oldSample, ratings(new, oldSample.variance), significanceLevel)
     }
 
     private fun ratings(
         tally: VersionTally,
-        usualVariance: Double,
+        priorVariance: Double,
     ): Sample {
         val count = tally.ratings.toDouble()
-        if (count == 0.0) return Sample(0.0, 0.0, usualVariance)
+        if (count == 0.0) return Sample(0.0, 0.0, priorVariance)
         val mean = tally.ratingSum / count
-        val seen = (tally.ratingSquareSum / count - mean * mean).coerceAtLeast(0.0)
-        val smoothed = (seen * count + usualVariance * USUAL_RATINGS) / (count + USUAL_RATINGS)
+        val observedVariance = (tally.ratingSquareSum / count - mean * mean).coerceAtLeast(0.0)
+        val smoothed = (observedVariance * count + priorVariance * PRIOR_RATINGS) / (count + PRIOR_RATINGS)
         return Sample(count, mean, smoothed)
     }
 
-    private fun failures(tally: VersionTally): Sample = share(tally.failed, tally.completed + tally.failed)
+    private fun failures(tally: VersionTally): Sample = proportion(tally.failed, tally.completed + tally.failed)
 
-    private fun slowness(tally: VersionTally): Sample = share(tally.slow, tally.completed)
+    private fun slowAnswers(tally: VersionTally): Sample = proportion(tally.slow, tally.completed)
 
-    /** Returns a share of yes and no; one more of each keeps the variance of a short sample from vanishing. */
-    private fun share(
-        yes: Long,
+    /**
+     * Returns a sample of yes-or-no outcomes. Its variance is computed with one more outcome of each kind, so that it
+     * is not zero in a short sample.
+     */
+    private fun proportion(
+        positives: Long,
         all: Long,
     ): Sample {
-        val smoothed = (yes + 1.0) / (all + 2.0)
-        return Sample(all.toDouble(), if (all == 0L) 0.0 else yes.toDouble() / all, smoothed * (1 - smoothed))
+        val smoothed = (positives + 1.0) / (all + 2.0)
+        return Sample(all.toDouble(), if (all == 0L) 0.0 else positives.toDouble() / all, smoothed * (1 - smoothed))
     }
 
     private data class Sample(
@@ -217,11 +224,11 @@
     )
 
     private companion object {
-        const val LEAST_RATINGS = 10
-        const val LEAST_SAMPLE = 4
-        const val TESTS = 3.0
+        const val MIN_RATINGS = 10
+        const val MIN_NEW_SAMPLE = 4
+        const val TEST_COUNT = 3.0
         const val MIXTURE_DEVIATION = 0.2
-        const val UNKNOWN_VARIANCE = 0.06
-        const val USUAL_RATINGS = 2.0
+        const val DEFAULT_RATING_VARIANCE = 0.06
+        const val PRIOR_RATINGS = 2.0
     }
 }
--- a/routing/src/main/kotlin/io/carawaytrack/routing/RouteEstimates.kt
+++ b/routing/src/main/kotlin/io/carawaytrack/routing/RouteEstimates.kt
@@ -1,6 +1,6 @@
 /*
- * The plans of one route, worked out from the estimates of its versions. Working them all out costs far more than
- * taking one, so the outcome is kept until enough has been observed to change it. Not thread-safe by itself.
+ * The plans of one route, computed from the estimates of its versions. Evaluating all plans costs far more than drawing
+ * one, so the result is cached until there are enough new observations to change it. The classes are not thread-safe.
  */
 package io.carawaytrack.routing
 
@@ -8,14 +8,20 @@
 import io.carawaytrack.model.PoolMember
 import kotlin.random.Random
 
-/** Names what the choice of a plan depends on beside the estimates. */
+/** Identifies a cached choice by everything it depends on besides the estimates. */
 internal data class PlanKey(
     val members: List<PoolMember>,
     val target: Double,
     val cascades: Boolean,
 )
 
-/** Holds one possible plan with its expected cost per request and its expected quality. */
+/**
+ * Describes a possible plan.
+ *
+ * @property cost expected cost per request
+ * @property quality expected rating of the final answer
+ * @property proven whether the version of the last step has enough ratings to count as proven
+ */
 internal class EvaluatedPlan(
     val steps: List<PlanStep>,
     val cost: Double,
@@ -24,10 +30,13 @@
 )
 
 /**
- * Holds the best plan and those that are worth a trial.
+ * Holds the best plan and the plans to try beside it.
  *
- * @property peers members that are as good as the best plan's only step at the same price, itself among them
- * @property promising cheaper plan whose expected quality meets the target, though not yet with confidence
+ * @property peers when the best plan has a single step, the members that meet the target at the same price, including
+ * the one that the plan names
+ * @property promising cheaper plan whose expected quality meets the target, whatever its confidence
+ * @property newTrials plans that start with a version which is not proven yet
+ * @property rechecks plans that start with a proven version which the best plan does not use
  */
 internal class PlanChoice(
     private val best: List<PlanStep>,
@@ -36,9 +45,9 @@
     private val newTrials: List<List<PlanStep>>,
     private val rechecks: List<List<PlanStep>>,
 ) {
-    /** Returns the best plan, drawn among its peers by their weights. */
+    /** Returns the best plan; when it has peers, the version is drawn from them by weight. */
     private fun best(random: Random): List<PlanStep> =
-        if (peers.size > 1) listOf(PlanStep(byWeight(peers, random).version)) else best
+        if (peers.size > 1) listOf(PlanStep(drawByWeight(peers, random).version)) else best
 
     fun draw(
         random: Random,
@@ -56,10 +65,10 @@
 ) {
     private val versions = HashMap<ModelVersion, VersionEstimate>()
     private val choices = LinkedHashMap<PlanKey, PlanChoice>()
-    private var observedSinceChoice = 0
+    private var observedSinceRefresh = 0
 
     fun of(version: ModelVersion): VersionEstimate =
-        versions.getOrPut(version) { VersionEstimate(settings.memoryRatings) }
+        versions.getOrPut(version) { VersionEstimate(settings.decayRatings) }
 
     fun observe(
         version: ModelVersion,
@@ -71,28 +80,28 @@
             is Observation.Completed -> estimate.tokens.add(observation.tokens)
             Observation.Failed -> estimate.rate(Observation.Rated(rating = 0.0))
         }
-        observedSinceChoice++
+        observedSinceRefresh++
     }
 
     fun choice(key: PlanKey): PlanChoice {
-        if (observedSinceChoice >= OBSERVATIONS_PER_CHOICE || choices.size >= CHOICES_KEPT) {
+        if (observedSinceRefresh >= OBSERVATIONS_PER_REFRESH || choices.size >= MAX_CACHED_CHOICES) {
             choices.clear()
-            observedSinceChoice = 0
+            observedSinceRefresh = 0
         }
-        return choices.getOrPut(key) { choose(key) }
+        return choices.getOrPut(key) { computeChoice(key) }
     }
 
     private fun VersionEstimate.rate(rated: Observation.Rated) {
-        unrated = 0
+        plannedSinceRating = 0
         if (rated.escalated) escalated.add(rated.rating) else direct.add(rated.rating)
     }
 
-    private fun choose(key: PlanKey): PlanChoice {
+    private fun computeChoice(key: PlanKey): PlanChoice {
         val singles = key.members.map { single(it) }
         val cascades = if (key.cascades && settings.cascadesEnabled) cascades(key.members) else emptyList()
-        val plans = singles + worthwhile(cascades, singles, key.target)
-        val good = plans.filter { meets(it, key.target) }
-        val candidates = good.filter { it.proven }.ifEmpty { good }
+        val plans = singles + withSufficientSaving(cascades, singles, key.target)
+        val sufficient = plans.filter { meets(it, key.target) }
+        val candidates = sufficient.filter { it.proven }.ifEmpty { sufficient }
         val best = candidates.minByOrNull { it.cost } ?: singles.maxBy { it.quality.mean }
         val trials = trials(key, best)
         return PlanChoice(
@@ -109,14 +118,14 @@
         target: Double,
     ): Boolean = plan.quality.mean - settings.zScore * plan.quality.standardError >= target
 
-    /** Drops the [cascades] that save too little against a good single version to be worth their delay. */
-    private fun worthwhile(
+    /** Returns the [cascades] that save enough over the cheapest sufficient single version to justify their latency. */
+    private fun withSufficientSaving(
         cascades: List<EvaluatedPlan>,
         singles: List<EvaluatedPlan>,
         target: Double,
     ): List<EvaluatedPlan> {
         val single = singles.filter { meets(it, target) }.minOfOrNull { it.cost } ?: return cascades
-        return cascades.filter { it.cost <= single * (1.0 - settings.leastCascadeSaving) }
+        return cascades.filter { it.cost <= single * (1.0 - settings.minCascadeSavingRatio) }
     }
 
     private fun promising(
@@ -125,7 +134,7 @@
         target: Double,
     ): EvaluatedPlan? = plans
         .filter { it.cost < best.cost && it.quality.mean >= target }
-        .filter { of(it.steps.first().version).unrated < settings.unratedLimit }
+        .filter { of(it.steps.first().version).plannedSinceRating < settings.maxUnratedRequests }
         .minByOrNull { it.cost }
 
     private fun peers(
@@ -133,10 +142,10 @@
         candidates: List<EvaluatedPlan>,
         members: List<PoolMember>,
     ): List<PoolMember> {
-        val only = best.steps.singleOrNull()?.version ?: return emptyList()
-        val price = members.first { it.version == only }.costPerKiloToken
-        val good = candidates.mapNotNull { it.steps.singleOrNull()?.version }.toSet()
-        return members.filter { it.costPerKiloToken == price && it.version in good }
+        val singleVersion = best.steps.singleOrNull()?.version ?: return emptyList()
+        val costPerKiloToken = members.first { it.version == singleVersion }.costPerKiloToken
+        val sufficient = candidates.mapNotNull { it.steps.singleOrNull()?.version }.toSet()
+        return members.filter { it.costPerKiloToken == costPerKiloToken && it.version in sufficient }
     }
 
     private fun single(member: PoolMember): EvaluatedPlan = EvaluatedPlan(
@@ -155,21 +164,22 @@
         first: PoolMember,
         second: PoolMember,
     ): List<EvaluatedPlan> {
-        val ratings = of(first.version).direct
-        val other = escalatedQuality(second)
-        return (1 until RATING_BINS).map { bin ->
+        val firstRatings = of(first.version).direct
+        val secondQuality = escalatedQuality(second)
+        return (1 until RATING_BIN_COUNT).map { bin ->
             EvaluatedPlan(
-                steps = listOf(PlanStep(first.version, bin.toDouble() / RATING_BINS), PlanStep(second.version)),
-                cost = cost(first) + ratings.shareBelow(bin) * cost(second),
-                quality = ratings.meanWithReplacement(bin, other),
+                steps = listOf(PlanStep(first.version, bin.toDouble() / RATING_BIN_COUNT), PlanStep(second.version)),
+                cost = cost(first) + firstRatings.shareBelow(bin) * cost(second),
+                quality = firstRatings.meanWithReplacement(bin, secondQuality),
                 proven = isProven(second.version),
             )
         }
     }
 
     /**
-     * Returns trials of versions that cost less than [best] and are not in it. Where a cascade is possible, a good
-     * answer is certain all the same; elsewhere only versions that may yet turn out to meet the target are tried.
+     * Returns trial plans for versions that cost less than [best] and are not part of it. Where cascades are possible,
+     * the last step of [best] is the fallback when the trial's answer is rejected, so that every cheaper version may be
+     * tried. Elsewhere only versions that may still meet the target are tried.
      */
     private fun trials(
         key: PlanKey,
@@ -178,15 +188,17 @@
         val used = best.steps.map { it.version }
         val cheaper =
             key.members.filter {
-                it.version !in used && cost(it) < best.cost && of(it.version).unrated < settings.unratedLimit
+                it.version !in used &&
+                    cost(it) < best.cost &&
+                    of(it.version).plannedSinceRating < settings.maxUnratedRequests
             }
         if (key.cascades && settings.cascadesEnabled) {
             return cheaper.map { listOf(PlanStep(it.version, key.target), best.steps.last()) }
         }
-        return cheaper.filter { mayMeet(it, key.target) }.map { listOf(PlanStep(it.version)) }
+        return cheaper.filter { mayStillMeet(it, key.target) }.map { listOf(PlanStep(it.version)) }
     }
 
-    private fun mayMeet(
+    private fun mayStillMeet(
         member: PoolMember,
         target: Double,
     ): Boolean {
@@ -200,21 +212,21 @@
     private fun escalatedQuality(member: PoolMember): Estimate {
         val direct = directQuality(member)
         val escalated = of(member.version).escalated
-        val own = escalated.shrunkTo(direct.mean, settings.priorRatings)
-        val fromDirect = settings.priorRatings / (settings.priorRatings + escalated.total) * direct.standardError
-        return Estimate(own.mean, own.standardError + fromDirect)
+        val estimate = escalated.shrunkTo(direct.mean, settings.priorRatings)
+        val priorError = settings.priorRatings / (settings.priorRatings + escalated.total) * direct.standardError
+        return Estimate(estimate.mean, estimate.standardError + priorError)
     }
 
     private fun isProven(version: ModelVersion): Boolean = of(version).ratings >= settings.provenAfterRatings
 
     private fun cost(member: PoolMember): Double {
-        val known = versions.values.mapNotNull { it.tokens.mean }
-        val usual = if (known.isEmpty()) 1.0 else known.average()
-        return member.costPerKiloToken * (of(member.version).tokens.mean ?: usual)
+        val knownMeans = versions.values.mapNotNull { it.tokens.mean }
+        val defaultTokens = if (knownMeans.isEmpty()) 1.0 else knownMeans.average()
+        return member.costPerKiloToken * (of(member.version).tokens.mean ?: defaultTokens)
     }
 
     private companion object {
-        const val OBSERVATIONS_PER_CHOICE = 16
-        const val CHOICES_KEPT = 64
+        const val OBSERVATIONS_PER_REFRESH = 16
+        const val MAX_CACHED_CHOICES = 64
     }
 }
--- a/routing/src/main/kotlin/io/carawaytrack/routing/Sharding.kt
+++ b/routing/src/main/kotlin/io/carawaytrack/routing/Sharding.kt
@@ -1,5 +1,5 @@
 /*
- * Helpers for state that is spread over shards, each under its own lock.
+ * Helpers for state that is divided into shards with a lock each.
  */
 package io.carawaytrack.routing
 
@@ -8,13 +8,13 @@
 import kotlin.concurrent.withLock
 import kotlin.random.Random
 
-/** Returns the shard, below [shards], that holds the state of [key]. */
+/** Returns the index of the shard, from 0 to [shards] - 1, that holds the state of [key]. */
 internal fun shardIndex(
     key: String,
     shards: Int,
 ): Int = Math.floorMod(Hashing.wyhashFinal4().hashCharsToLong(key), shards)
 
-/** Lets threads share [random], whose own state has no lock. */
+/** Makes [random] safe to share between threads. */
 internal class LockedRandom(
     private val random: Random,
 ) : Random() {
--- a/routing/src/main/kotlin/io/carawaytrack/routing/UpstreamChooser.kt
+++ b/routing/src/main/kotlin/io/carawaytrack/routing/UpstreamChooser.kt
@@ -1,7 +1,7 @@
 /*
- * The second decision that an entry takes: which upstream gets the next attempt. What agents report of an upstream's
- * load is always late, so the reports are corrected by the attempts that this entry started and ended since. State is
- * kept in shards by upstream, each under its own lock.
+ * Load balancing, the second decision of an entry: which upstream receives the next attempt. The load that agents
+ * report is always out of date, so it is corrected by the attempts that this entry has started and finished since. The
+ * state is sharded by upstream, with one lock for each shard.
  */
 package io.carawaytrack.routing
 
@@ -20,7 +20,12 @@
 import io.carawaytrack.model.notRun
 import kotlin.random.Random
 
-/** Describes the attempt for which an upstream is wanted; [excluded] have already refused or failed it. */
+/**
+ * Describes an attempt for which an upstream is to be chosen.
+ *
+ * @property allowed upstreams to choose from; empty for all
+ * @property excluded upstreams that have already refused or failed the request
+ */
 public data class ChoiceRequest(
     val version: ModelVersion,
     val estimatedTokens: Long = 0,
@@ -29,14 +34,14 @@
     val excluded: Set<UpstreamId> = emptySet(),
 )
 
-/** Chooses an upstream for each attempt, from announced load corrected by the entry's own attempts. */
+/** Chooses an upstream for each attempt, based on the announced load corrected by the entry's own attempts. */
 public interface UpstreamChooser {
-    /** Replaces or extends what is known of the announced upstreams; see [Membership.complete]. */
+    /** Replaces the announced upstreams, or adds to them when [membership] is not [complete][Membership.complete]. */
     public fun update(membership: Membership)
 
     /**
-     * Takes in a load that an agent sent along with an answer or a refusal; the attempt that it ended is no longer in
-     * it, so [finished] goes first.
+     * Updates the load of [upstream] from what its agent sent with an answer or a refusal. The load no longer includes
+     * the attempt that ended with it, so [finished] must be called first.
      */
     public fun report(
         upstream: UpstreamId,
@@ -44,21 +49,21 @@
     )
 
     /**
-     * Returns the upstream to use. Fails with `NoHealthyUpstream` when none that serves the version is in service, and
-     * with `PoolExhausted` and a retry hint when all of them are full.
+     * Returns the upstream to use. Fails with `NoHealthyUpstream` when no upstream that serves the version is in
+     * service, and with `PoolExhausted` and a retry hint when all of them are full or excluded.
      */
     public fun choose(
         configuration: Configuration,
         request: ChoiceRequest,
     ): Result<Announcement, Failure>
 
-    /** Notes that an attempt of [tokens] estimated tokens was sent to [upstream]. */
+    /** Records that an attempt of [tokens] estimated tokens was sent to [upstream]. */
     public fun started(
         upstream: UpstreamId,
         tokens: Long,
     )
 
-    /** Notes that an attempt ended; [healthy] is false when the upstream itself failed. */
+    /** Records that an attempt ended; [healthy] is false when the upstream itself failed. */
     public fun finished(
         upstream: UpstreamId,
         tokens: Long,
@@ -67,11 +72,11 @@
 }
 
 /**
- * Tunes the choice of upstreams.
+ * Configures the choice of upstreams.
  *
- * @property retryAfterMillis hint given when every upstream of a version is full
- * @property crossZonePenaltyTokensPerPermit outstanding tokens for each permit by which an upstream in another zone must be less
- * busy to be taken before a local one
+ * @property crossZonePenaltyTokensPerPermit outstanding tokens for each permit that are added to the load of an
+ * upstream in another zone, so that it is preferred to a local one only when it is less loaded by more than that
+ * @property retryAfterMillis retry hint when every upstream of a version is full
  */
 public data class ChooserSettings(
     val crossZonePenaltyTokensPerPermit: Double = 30.0,
@@ -108,10 +113,10 @@
                 inService = { configuration.inService(it.upstream, it.zone) },
                 accepts = { serves(request, it) },
             )
-        if (serving.isEmpty()) return Err(ErrorKind.NoHealthyUpstream.notRun(noneDetail(request.version)))
-        val free = serving.filter { it.hasRoom && it.announcement.upstream !in request.excluded }
-        if (free.isEmpty()) return Err(exhausted(request.version, serving.size))
-        return Ok(leastOutstanding(free.filter { it.healthy }.ifEmpty { free }).announcement)
+        if (serving.isEmpty()) return Err(ErrorKind.NoHealthyUpstream.notRun(noneInServiceDetail(request.version)))
+        val available = serving.filter { it.hasCapacity && it.announcement.upstream !in request.excluded }
+        if (available.isEmpty()) return Err(exhausted(request.version, serving.size))
+        return Ok(leastOutstanding(available.filter { it.healthy }.ifEmpty { available }).announcement)
     }
 
     override fun started(
@@ -134,24 +139,24 @@
     }
 
     private fun leastOutstanding(candidates: List<UpstreamView>): UpstreamView {
-        val least = candidates.minOf(::burden)
-        val ties = candidates.filter { burden(it) == least }
+        val least = candidates.minOf(::loadScore)
+        val ties = candidates.filter { loadScore(it) == least }
         return ties[random.nextInt(ties.size)]
     }
 
-    private fun burden(candidate: UpstreamView): Double {
+    private fun loadScore(candidate: UpstreamView): Double {
         val isLocal = candidate.announcement.zone == zone
         return candidate.tokensPerPermit + if (isLocal) 0.0 else settings.crossZonePenaltyTokensPerPermit
     }
 
-    private fun noneDetail(version: ModelVersion) =
-        "expected an upstream in service that serves $version, known are ${table.size}, none fits"
+    private fun noneInServiceDetail(version: ModelVersion) =
+        "expected an upstream in service that serves $version, got none among ${table.size} announced upstreams"
 
     private fun exhausted(
         version: ModelVersion,
         serving: Int,
     ): Failure = ErrorKind.PoolExhausted.notRun(
-        detail = "expected room on an upstream that serves $version, all $serving are full or have refused",
+        detail = "expected free capacity on an upstream that serves $version, all $serving are full or have refused",
         retryAfterMillis = settings.retryAfterMillis,
     )
 }
--- a/routing/src/main/kotlin/io/carawaytrack/routing/UpstreamTable.kt
+++ b/routing/src/main/kotlin/io/carawaytrack/routing/UpstreamTable.kt
@@ -1,6 +1,6 @@
 /*
- * What an entry knows of each upstream: its announcement, the load last reported, and this entry's own attempts since.
- * Upstreams are spread over shards by a hash of their identifiers; each shard has its own lock.
+ * The state that an entry keeps of each upstream: its announcement, the load last reported, and the entry's own
+ * attempts since then. Upstreams are divided into shards by a hash of their identifiers, with one lock for each shard.
  */
 package io.carawaytrack.routing
 
@@ -15,17 +15,17 @@
 
 private const val SHARD_COUNT = 16
 
-/** Age that the load in an announcement is taken to have when it arrives, in milliseconds. */
+/** Assumed age of the load in an announcement when it arrives, in milliseconds. */
 private const val ANNOUNCEMENT_LAG_MILLIS = 500L
 
-/** Time in which an upstream that comes back into service gets back to all of its permits, in milliseconds. */
-private const val RETURN_MILLIS = 20_000L
+/** Time over which an upstream that returns to service regains all of its permits, in milliseconds. */
+private const val RETURN_RAMP_MILLIS = 20_000L
 
 /**
- * Shows one upstream at the moment of a choice, its load corrected by the entry's own attempts.
+ * Describes one upstream at the time of a choice, with its load corrected by the entry's own attempts.
  *
- * @property permits requests that it may run at once, fewer than announced while it returns to service
- * @property healthy false while it is left alone because attempts on it failed
+ * @property permits requests that may run concurrently; fewer than announced while the upstream returns to service
+ * @property healthy false while the upstream is ejected because attempts on it failed
  */
 internal data class UpstreamView(
     val announcement: Announcement,
@@ -34,9 +34,9 @@
     val outstandingTokens: Long,
     val healthy: Boolean,
 ) {
-    val hasRoom: Boolean get() = running < permits
+    val hasCapacity: Boolean get() = running < permits
 
-    /** Tokens waiting for each request that can run at once. */
+    /** Outstanding tokens for each permit. */
     val tokensPerPermit: Double get() = outstandingTokens.toDouble() / permits.coerceAtLeast(1)
 }
 
@@ -49,11 +49,11 @@
     val size: Int get() = shards.sumOf { it.size }
 
     fun update(membership: Membership) {
-        val newest = newestNumber.accumulateAndGet(membership.number, ::maxOf)
-        if (membership.number < newest) return
-        val listed = membership.upstreams.map { it.upstream }.toSet()
-        shards.forEach { it.remove(membership.removed.toSet() - listed) }
-        if (membership.complete) shards.forEach { it.retain(listed) }
+        val newestSeen = newestNumber.accumulateAndGet(membership.number, ::maxOf)
+        if (membership.number < newestSeen) return
+        val announced = membership.upstreams.map { it.upstream }.toSet()
+        shards.forEach { it.remove(membership.removed.toSet() - announced) }
+        if (membership.complete) shards.forEach { it.retain(announced) }
         membership.upstreams.forEach { shardOf(it.upstream).announce(it, nowMillis()) }
     }
 
@@ -73,13 +73,13 @@
         healthy: Boolean,
     ) = shardOf(upstream).finished(upstream, tokens, healthy, nowMillis())
 
-    /** Returns a view of every announced upstream that is [inService] and for which [accepts] holds. */
+    /** Returns a view of every announced upstream that is [inService] and that [accepts] accepts. */
     fun candidates(
         inService: (Announcement) -> Boolean,
         accepts: (Announcement) -> Boolean,
     ): List<UpstreamView> {
         val atMillis = nowMillis()
-        return buildList { shards.forEach { it.addTo(this, atMillis, inService, accepts) } }
+        return buildList { shards.forEach { it.addViewsTo(this, atMillis, inService, accepts) } }
     }
 
     private fun shardOf(upstream: UpstreamId): Shard = shards[shardIndex(upstream.value, SHARD_COUNT)]
@@ -87,93 +87,93 @@
 
 private class Shard {
     private val lock = ReentrantLock()
-    private val slots = HashMap<UpstreamId, Slot>()
+    private val states = HashMap<UpstreamId, UpstreamState>()
 
-    val size: Int get() = lock.withLock { slots.size }
+    val size: Int get() = lock.withLock { states.size }
 
     fun announce(
         announcement: Announcement,
         atMillis: Long,
     ) = lock.withLock {
-        val known = slots[announcement.upstream]
+        val known = states[announcement.upstream]
         if (known == null || known.announcement.incarnation != announcement.incarnation) {
-            slots[announcement.upstream] = Slot(announcement)
+            states[announcement.upstream] = UpstreamState(announcement)
         } else {
             known.announce(announcement, atMillis)
         }
     }
 
-    fun retain(listed: Set<UpstreamId>): Unit = lock.withLock { slots.keys.retainAll(listed) }
+    fun retain(announced: Set<UpstreamId>): Unit = lock.withLock { states.keys.retainAll(announced) }
 
-    fun remove(removed: Set<UpstreamId>): Unit = lock.withLock { slots.keys.removeAll(removed) }
+    fun remove(removed: Set<UpstreamId>): Unit = lock.withLock { states.keys.removeAll(removed) }
 
     fun report(
         upstream: UpstreamId,
         load: UpstreamLoad,
         atMillis: Long,
-    ): Unit = lock.withLock { slots[upstream]?.report(load, atMillis) }
+    ): Unit = lock.withLock { states[upstream]?.report(load, atMillis) }
 
     fun started(
         upstream: UpstreamId,
         tokens: Long,
         atMillis: Long,
-    ): Unit = lock.withLock { slots[upstream]?.started(tokens, atMillis) }
+    ): Unit = lock.withLock { states[upstream]?.started(tokens, atMillis) }
 
     fun finished(
         upstream: UpstreamId,
         tokens: Long,
         healthy: Boolean,
         atMillis: Long,
-    ): Unit = lock.withLock { slots[upstream]?.finished(tokens, healthy, atMillis) }
+    ): Unit = lock.withLock { states[upstream]?.finished(tokens, healthy, atMillis) }
 
-    fun addTo(
+    fun addViewsTo(
         views: MutableList<UpstreamView>,
         atMillis: Long,
         inService: (Announcement) -> Boolean,
         accepts: (Announcement) -> Boolean,
     ) = lock.withLock {
-        for (slot in slots.values) {
-            val isIn = inService(slot.announcement)
-            slot.look(isIn, atMillis)
-            if (isIn && accepts(slot.announcement)) views += slot.view(atMillis)
+        for (state in states.values) {
+            val isInService = inService(state.announcement)
+            state.updateService(isInService, atMillis)
+            if (isInService && accepts(state.announcement)) views += state.view(atMillis)
         }
     }
 }
 
-private class Slot(
+private class UpstreamState(
     announcement: Announcement,
 ) {
     var announcement = announcement
         private set
     private var reported = announcement.load
     private var reportedAtMillis = Long.MIN_VALUE / 2
-    private val recent = ArrayDeque<OwnChange>()
+    private val recentChanges = ArrayDeque<OwnChange>()
     private val health = UpstreamHealth()
-    private var wasOut = false
+    private var wasOutOfService = false
     private var returnedAtMillis = Long.MIN_VALUE / 2
     private var ownRunning = 0
     private var ownTokens = 0L
-    private var runningSince = 0
-    private var tokensSince = 0L
+    private var runningSinceReport = 0
+    private var tokensSinceReport = 0L
 
     /**
-     * Takes a newer announcement. Its load was read some time ago, so that the latest own attempts are not in it; when
-     * an agent has reported a fresher one with an answer, that one stays.
+     * Updates the announcement. The load in it is some time old and does not include the entry's latest attempts, so
+     * these are added again. When the agent has reported a load more recently than that, the reported one is kept.
      */
     fun announce(
         newer: Announcement,
         atMillis: Long,
     ) {
-        val fresher = announcement.load
+        val reportedLoad = announcement.load
         announcement = newer
         if (atMillis - reportedAtMillis < ANNOUNCEMENT_LAG_MILLIS) {
-            announcement = newer.copy(load = fresher)
+            announcement = newer.copy(load = reportedLoad)
             return
         }
-        takeLoad(newer.load)
-        forgetBefore(atMillis - ANNOUNCEMENT_LAG_MILLIS)
-        runningSince = recent.sumOf { it.running }
-        tokensSince = recent.sumOf { it.tokens }
+        applyLoad(newer.load)
+        discardChangesBefore(atMillis - ANNOUNCEMENT_LAG_MILLIS)
+        runningSinceReport = recentChanges.sumOf { it.running }
+        tokensSinceReport = recentChanges.sumOf { it.tokens }
     }
 
     fun report(
@@ -182,96 +182,99 @@
     ) {
         reportedAtMillis = atMillis
         announcement = announcement.copy(load = load)
-        takeLoad(load)
-        recent.clear()
+        applyLoad(load)
+        recentChanges.clear()
     }
 
     fun started(
         tokens: Long,
         atMillis: Long,
-    ) = addOwn(OwnChange(atMillis, 1, tokens))
+    ) = addChange(OwnChange(atMillis, 1, tokens))
 
     fun finished(
         tokens: Long,
         healthy: Boolean,
         atMillis: Long,
     ) {
-        if (ownRunning > 0) addOwn(OwnChange(atMillis, -1, -tokens))
-        health.ended(healthy, atMillis)
+        if (ownRunning > 0) addChange(OwnChange(atMillis, -1, -tokens))
+        health.recordOutcome(healthy, atMillis)
     }
 
-    /** Notes whether the upstream is in service, so that a return is noticed. */
-    fun look(
-        isIn: Boolean,
+    /** Updates whether the upstream is in service; a return starts the ramp of its permits. */
+    fun updateService(
+        isInService: Boolean,
         atMillis: Long,
     ) {
-        if (isIn && wasOut) returnedAtMillis = atMillis
-        wasOut = !isIn
+        if (isInService && wasOutOfService) returnedAtMillis = atMillis
+        wasOutOfService = !isInService
     }
 
     fun view(atMillis: Long): UpstreamView = UpstreamView(
         announcement = announcement,
         permits = permits(atMillis),
-        running = maxOf(reported.running + runningSince, ownRunning),
-        outstandingTokens = maxOf(reported.queuedTokens + tokensSince, ownTokens),
-        healthy = health.mayTry(ownRunning, atMillis),
+        running = maxOf(reported.running + runningSinceReport, ownRunning),
+        outstandingTokens = maxOf(reported.queuedTokens + tokensSinceReport, ownTokens),
+        healthy = health.isAvailable(ownRunning, atMillis),
     )
 
-    /** Returns the announced permits, or the part of them that the time since a return allows. */
+    /** Returns the announced permits, or the part of them that the ramp after a return to service allows. */
     private fun permits(atMillis: Long): Int {
-        val sinceMillis = atMillis - returnedAtMillis
-        if (sinceMillis >= RETURN_MILLIS) return announcement.load.permits
-        return ceil(announcement.load.permits * sinceMillis.toDouble() / RETURN_MILLIS).toInt()
+        val returnedForMillis = atMillis - returnedAtMillis
+        if (returnedForMillis >= RETURN_RAMP_MILLIS) return announcement.load.permits
+        return ceil(announcement.load.permits * returnedForMillis.toDouble() / RETURN_RAMP_MILLIS).toInt()
     }
 
-    private fun takeLoad(load: UpstreamLoad) {
+    private fun applyLoad(load: UpstreamLoad) {
         reported = load
-        runningSince = 0
-        tokensSince = 0
+        runningSinceReport = 0
+        tokensSinceReport = 0
     }
 
-    private fun addOwn(change: OwnChange) {
+    private fun addChange(change: OwnChange) {
         ownRunning += change.running
         ownTokens += change.tokens
-        runningSince += change.running
-        tokensSince += change.tokens
-        forgetBefore(change.atMillis - ANNOUNCEMENT_LAG_MILLIS)
-        recent.addLast(change)
+        runningSinceReport += change.running
+        tokensSinceReport += change.tokens
+        discardChangesBefore(change.atMillis - ANNOUNCEMENT_LAG_MILLIS)
+        recentChanges.addLast(change)
     }
 
-    private fun forgetBefore(atMillis: Long) {
-        while (recent.isNotEmpty() && recent.first().atMillis < atMillis) recent.removeFirst()
+    private fun discardChangesBefore(atMillis: Long) {
+        while (recentChanges.isNotEmpty() && recentChanges.first().atMillis < atMillis) recentChanges.removeFirst()
     }
 }
 
-/** Leaves an upstream alone after failures in a row, each time for longer, and then tries it with one request. */
+/**
+ * Ejects an upstream after consecutive failures, with exponentially growing duration. After that, one request at a time
+ * may probe it until an attempt succeeds.
+ */
 private class UpstreamHealth {
-    private var failuresInRow = 0
-    private var outUntilMillis = Long.MIN_VALUE
+    private var consecutiveFailures = 0
+    private var ejectedUntilMillis = Long.MIN_VALUE
 
-    fun ended(
+    fun recordOutcome(
         healthy: Boolean,
         atMillis: Long,
     ) {
-        failuresInRow = if (healthy) 0 else failuresInRow + 1
-        if (failuresInRow < FAILURES_BEFORE_OUT) return
-        val doublings = (failuresInRow - FAILURES_BEFORE_OUT).coerceAtMost(MAX_DOUBLINGS)
-        outUntilMillis = atMillis + (FIRST_OUT_MILLIS shl doublings)
+        consecutiveFailures = if (healthy) 0 else consecutiveFailures + 1
+        if (consecutiveFailures < EJECTION_FAILURES) return
+        val doublings = (consecutiveFailures - EJECTION_FAILURES).coerceAtMost(MAX_EJECTION_DOUBLINGS)
+        ejectedUntilMillis = atMillis + (BASE_EJECTION_MILLIS shl doublings)
     }
 
-    fun mayTry(
+    fun isAvailable(
         ownRunning: Int,
         atMillis: Long,
-    ): Boolean = failuresInRow < FAILURES_BEFORE_OUT || (atMillis >= outUntilMillis && ownRunning == 0)
+    ): Boolean = consecutiveFailures < EJECTION_FAILURES || (atMillis >= ejectedUntilMillis && ownRunning == 0)
 
     private companion object {
-        const val FAILURES_BEFORE_OUT = 3
-        const val FIRST_OUT_MILLIS = 1_000L
-        const val MAX_DOUBLINGS = 5
+        const val EJECTION_FAILURES = 3
+        const val BASE_EJECTION_MILLIS = 1_000L
+        const val MAX_EJECTION_DOUBLINGS = 5
     }
 }
 
-/** Notes that the entry's own attempts on an upstream became more or fewer. */
+/** Describes a change in the entry's own running attempts on an upstream. */
 private class OwnChange(
     val atMillis: Long,
     val running: Int,
