--- a/routing/src/test/kotlin/io/carawaytrack/routing/LearningPlannerTest.kt
+++ b/routing/src/test/kotlin/io/carawaytrack/routing/LearningPlannerTest.kt
@@ -1,5 +1,5 @@
 /*
- * What a planner makes of ratings, failures and versions that it has not seen yet.
+ * Tests how ratings, failures and unproven versions change the plans.
  */
 package io.carawaytrack.routing
 
@@ -19,26 +19,26 @@
 class LearningPlannerTest {
     private val configuration = draftConfiguration(smallMember, largeMember)
 
-    private data class Learning(
+    private data class PlanCase(
         val name: String,
         val smallRatings: List<Double>,
         val expected: List<ModelVersion>,
         val singleVersion: Boolean = false,
     )
 
-    private val mixed = List(120) { if (it % 4 == 0) 0.3 else 0.95 }
+    private val mixedRatings = List(120) { if (it % 4 == 0) 0.3 else 0.95 }
 
-    private val learnings =
+    private val planCases =
         listOf(
-            Learning("the cheap version alone when it is rated above the target", List(60) { 0.9 }, listOf(small)),
-            Learning("a cascade when a good share of the cheap answers will do", mixed, listOf(small, large)),
-            Learning("the dear version when what needs a cascade must run on one version", mixed, listOf(large), true),
-            Learning("the dear version when no cheap answer will do", List(120) { 0.2 }, listOf(large)),
-            Learning("the dear version while the cheap one has few ratings", List(3) { 0.9 }, listOf(large)),
+            PlanCase("the cheap version alone when its rating is above the target", List(60) { 0.9 }, listOf(small)),
+            PlanCase("a cascade when many cheap answers meet the target", mixedRatings, listOf(small, large)),
+            PlanCase("the expensive version when the request rules out a cascade", mixedRatings, listOf(large), true),
+            PlanCase("the expensive version when no cheap answer meets the target", List(120) { 0.2 }, listOf(large)),
+            PlanCase("the expensive version while the cheap one has few ratings", List(3) { 0.9 }, listOf(large)),
         )
 
     @TestFactory
-    fun `the usual plan is`(): List<DynamicTest> = learnings.map { case ->
+    fun `best plan is`(): List<DynamicTest> = planCases.map { case ->
         dynamicTest(case.name) {
             val planner =
                 Planner(Random(3), PlannerSettings(newVersionShare = 0.0, recheckShare = 0.0, promisingShare = 0.0))
@@ -49,7 +49,7 @@
     }
 
     @Test
-    fun `a version that starts to fail is left`() {
+    fun `a version that starts to fail is no longer used alone`() {
         val planner =
             Planner(Random(3), PlannerSettings(newVersionShare = 0.0, recheckShare = 0.0, promisingShare = 0.0))
         repeat(200) { planner.observe("draft", large, Observation.Rated(0.95)) }
@@ -60,7 +60,7 @@
     }
 
     @Test
-    fun `an unproven version is tried on a bounded share, ahead of a version that will do`() {
+    fun `an unproven version is tried on a limited share of requests, with a sufficient version as fallback`() {
         val planner = Planner(Random(3), PlannerSettings(newVersionShare = 0.1))
         repeat(60) { planner.observe("draft", large, Observation.Rated(0.95)) }
         val plans = List(300) { planner.versions() }
@@ -70,8 +70,8 @@
     }
 
     @Test
-    fun `trials stop while no rating comes in`() {
-        val planner = Planner(Random(3), PlannerSettings(newVersionShare = 0.5, unratedLimit = 20))
+    fun `trials stop while no ratings arrive`() {
+        val planner = Planner(Random(3), PlannerSettings(newVersionShare = 0.5, maxUnratedRequests = 20))
         repeat(60) { planner.observe("draft", large, Observation.Rated(0.95)) }
         val tried =
             (1..2_000).count {
@@ -82,7 +82,7 @@
     }
 
     @Test
-    fun `members of equal price share by weight`() {
+    fun `members of equal price receive requests by weight`() {
         val members = arrayOf(smallMember.copy(weight = 3), smallNextMember.copy(costPerKiloToken = 1.0, weight = 1))
         val planner = Planner(Random(3))
         val request = PlanRequest(organisation("*@*"), draftRoute(target = 0.6))
--- a/routing/src/test/kotlin/io/carawaytrack/routing/PlannerTest.kt
+++ b/routing/src/test/kotlin/io/carawaytrack/routing/PlannerTest.kt
@@ -1,5 +1,5 @@
 /*
- * Which version a plan names, as tables of cases.
+ * Tests which versions a plan contains and which requests are refused.
  */
 package io.carawaytrack.routing
 
@@ -28,7 +28,7 @@
 import kotlin.random.Random
 
 class PlannerTest {
-    private data class Refusal(
+    private data class RefusalCase(
         val name: String,
         val organisation: Organisation,
         val states: Map<ModelVersion, VersionState>,
@@ -36,25 +36,25 @@
         val expected: ErrorKind,
     )
 
-    private val refusals =
+    private val refusalCases =
         listOf(
-            Refusal(
-                "an organisation without allowance",
+            RefusalCase(
+                "an organisation that may use no version of the pool",
                 organisation("other@*"),
                 emptyMap(),
                 null,
                 ErrorKind.NotAllowed,
             ),
-            Refusal("a pin that is not allowed", organisation("pen@*"), emptyMap(), large, ErrorKind.NotAllowed),
-            Refusal(
-                "a withdrawn pin",
+            RefusalCase("a pinned version not allowed", organisation("pen@*"), emptyMap(), large, ErrorKind.NotAllowed),
+            RefusalCase(
+                "a pinned version that is withdrawn",
                 organisation("*@*"),
                 mapOf(large to VersionState.Withdrawn),
                 large,
                 ErrorKind.SessionVersionWithdrawn,
             ),
-            Refusal(
-                "a pool whose allowed versions all drain",
+            RefusalCase(
+                "a pool whose allowed versions are all draining",
                 organisation("quill@*"),
                 mapOf(large to VersionState.Draining),
                 null,
@@ -63,7 +63,7 @@
         )
 
     @TestFactory
-    fun `a plan is refused as not run`(): List<DynamicTest> = refusals.map { case ->
+    fun `plan fails with NotRun`(): List<DynamicTest> = refusalCases.map { case ->
         dynamicTest("for ${case.name}") {
             val configuration = draftConfiguration().withStates(case.states)
             val request = PlanRequest(case.organisation, draftRoute(), case.pinned)
@@ -73,7 +73,7 @@
         }
     }
 
-    private data class Choice(
+    private data class VersionCase(
         val name: String,
         val target: Double,
         val allows: String,
@@ -82,31 +82,31 @@
         val pinned: ModelVersion? = null,
     )
 
-    private val choices =
+    private val versionCases =
         listOf(
-            Choice("the cheapest version that meets the target", 0.6, "*@*", smallNext),
-            Choice("a dearer version when the cheap ones miss the target", 0.9, "*@*", large),
-            Choice("the best allowed version when none meets the target", 0.9, "pen@1", small),
-            Choice(
-                "another version when the cheapest drains",
+            VersionCase("the cheapest version that meets the target", 0.6, "*@*", smallNext),
+            VersionCase("a more expensive version when the cheap ones miss the target", 0.9, "*@*", large),
+            VersionCase("the best allowed version when none meets the target", 0.9, "pen@1", small),
+            VersionCase(
+                "another version when the cheapest is draining",
                 0.6,
                 "*@*",
                 small,
                 mapOf(smallNext to VersionState.Draining),
             ),
-            Choice(
-                "the pinned version though it drains",
+            VersionCase(
+                "the pinned version even when it is draining",
                 0.6,
                 "*@*",
                 smallNext,
                 mapOf(smallNext to VersionState.Draining),
                 smallNext,
             ),
-            Choice("the pinned version though it is dear", 0.6, "*@*", large, pinned = large),
+            VersionCase("the pinned version even when it is expensive", 0.6, "*@*", large, pinned = large),
         )
 
     @TestFactory
-    fun `a new planner ends its plan with`(): List<DynamicTest> = choices.map { case ->
+    fun `the last step of a plan without observations is`(): List<DynamicTest> = versionCases.map { case ->
         dynamicTest(case.name) {
             val configuration = draftConfiguration().withStates(case.states)
             val request = PlanRequest(organisation(case.allows), draftRoute(case.target), case.pinned)
@@ -114,37 +114,37 @@
         }
     }
 
-    private data class Share(
+    private data class RolloutCase(
         val percent: Int,
         val phase: RolloutPhase,
         val allows: String,
         val expected: IntRange,
     )
 
-    private val shares =
+    private val rolloutCases =
         listOf(
-            Share(10, RolloutPhase.Running, "*@*", 60..140),
-            Share(50, RolloutPhase.Paused, "*@*", 430..570),
-            Share(50, RolloutPhase.Completed, "*@*", 1_000..1_000),
-            Share(50, RolloutPhase.RolledBack, "*@*", 0..0),
-            Share(0, RolloutPhase.Running, "*@*", 0..0),
-            Share(50, RolloutPhase.Running, "pen@1", 0..0),
+            RolloutCase(10, RolloutPhase.Running, "*@*", 60..140),
+            RolloutCase(50, RolloutPhase.Paused, "*@*", 430..570),
+            RolloutCase(50, RolloutPhase.Completed, "*@*", 1_000..1_000),
+            RolloutCase(50, RolloutPhase.RolledBack, "*@*", 0..0),
+            RolloutCase(0, RolloutPhase.Running, "*@*", 0..0),
+            RolloutCase(50, RolloutPhase.Running, "pen@1", 0..0),
         )
 
     @TestFactory
-    fun `a roll-out moves its share of a thousand requests`(): List<DynamicTest> = shares.map { case ->
+    fun `a roll-out moves its percentage of a thousand requests`(): List<DynamicTest> = rolloutCases.map { case ->
         dynamicTest("at ${case.percent} percent, ${case.phase}, allowing ${case.allows}") {
             val rollout = Rollout("next", draftPool, small, smallNext, case.percent, case.phase)
             val configuration = draftConfiguration(smallMember, smallNextMember, rollouts = listOf(rollout))
             val planner = Planner(Random(7))
             val request = PlanRequest(organisation(case.allows), draftRoute(target = 0.5))
-            val moved = (1..1_000).count { planner.lastVersion(configuration, request) == smallNext }
-            expectThat(moved).isIn(case.expected)
+            val onNewVersion = (1..1_000).count { planner.lastVersion(configuration, request) == smallNext }
+            expectThat(onNewVersion).isIn(case.expected)
         }
     }
 
     @Test
-    fun `membersOf ends on pools that include each other and lists each version once`() {
+    fun `membersOf terminates on pools that include each other and lists each version once`() {
         val inner = Pool(PoolName("inner"), ServiceKind.Model, listOf(largeMember, smallMember), listOf(draftPool))
         val outer = Pool(draftPool, ServiceKind.Model, listOf(smallMember.copy(weight = 3)), listOf(inner.name))
         val members = Tables(pools = listOf(outer, inner)).membersOf(draftPool)
--- a/routing/src/test/kotlin/io/carawaytrack/routing/RolloutEvaluatorTest.kt
+++ b/routing/src/test/kotlin/io/carawaytrack/routing/RolloutEvaluatorTest.kt
@@ -1,5 +1,5 @@
 /*
- * What a judge makes of the sums of a stage, as tables of cases, and how often it errs on equal versions.
+ * Tests the decision for given tallies of a stage, and the rate of false roll-backs between equal versions.
  */
 package io.carawaytrack.routing
 
@@ -23,14 +23,14 @@
 
     private val cases =
         listOf(
-            Case("continues before anything was seen", VersionTally(), RolloutDecision.Continue),
-            Case("continues on a few ratings that look alike", tally(30, 0.85, 10), RolloutDecision.Continue),
-            Case("advances when a loss is ruled out", tally(900, 0.86, 400), RolloutDecision.Advance),
+            Case("continues without observations", VersionTally(), RolloutDecision.Continue),
+            Case("continues on a few similar ratings", tally(30, 0.85, 10), RolloutDecision.Continue),
+            Case("advances when a loss of quality is ruled out", tally(900, 0.86, 400), RolloutDecision.Advance),
             Case("rolls back on a few very bad ratings", tally(40, 0.45, 12), RolloutDecision.RollBack),
             Case("rolls back when most requests fail", tally(8, 0.85, 0, failed = 7), RolloutDecision.RollBack),
             Case("rolls back when most answers are slow", tally(60, 0.85, 20, slow = 50), RolloutDecision.RollBack),
-            Case("holds when ratings fail to come in", tally(150, 0.85, 3), RolloutDecision.Hold),
-            Case("holds when a stage has used up its requests", tally(2_000, 0.85, 40), RolloutDecision.Hold),
+            Case("holds when ratings do not arrive", tally(150, 0.85, 3), RolloutDecision.Hold),
+            Case("holds when a stage has reached its request limit", tally(2_000, 0.85, 40), RolloutDecision.Hold),
             Case("does not advance on ratings alone", tally(300, 0.86, 400, failed = 9), RolloutDecision.Continue),
         )
 
@@ -42,7 +42,7 @@
     }
 
     @Test
-    fun `evaluate rolls back on the latest period though the stage as a whole is undecided`() {
+    fun `evaluate rolls back on the latest period although the stage as a whole is undecided`() {
         val good = RolloutEvidence(old, tally(400, 0.86, 150))
         val bad = RolloutEvidence(old, tally(20, 0.45, 12))
         expectThat(RolloutEvaluator().evaluate(listOf(good + bad))).isEqualTo(RolloutDecision.Continue)
@@ -50,22 +50,22 @@
     }
 
     @Test
-    fun `evaluate rolls back an equal version in at most one of a hundred stages though asked after every rating`() {
-        val rolledBack = (1..400).count { seed -> RolloutDecision.RollBack in verdictsOnEqualVersions(Random(seed)) }
+    fun `evaluate after every rating rolls back an equal version in at most one of a hundred stages`() {
+        val rolledBack = (1..400).count { seed -> RolloutDecision.RollBack in decisionsOnEqualVersions(Random(seed)) }
         expectThat(rolledBack).isLessThanOrEqualTo(4)
     }
 
     @Test
-    fun `tallies of two entries add up to the tally of one that saw all`() {
-        val seen =
+    fun `tallies of two entries add up to the tally of one entry with all observations`() {
+        val observed =
             listOf(Observation.Rated(0.5), Observation.Completed(900, 10), Observation.Failed, Observation.Rated(1.0))
-        val whole = seen.fold(VersionTally()) { sum, observation -> sum.plus(observation, slowMillisPerToken = 50.0) }
-        val halves = seen.chunked(2).map { half -> half.fold(VersionTally()) { sum, one -> sum.plus(one, 50.0) } }
-        expectThat(halves[0] + halves[1]).isEqualTo(whole)
-        expectThat(whole.slow).isEqualTo(1)
+        val total = observed.fold(VersionTally()) { sum, one -> sum.plus(one, slowMillisPerToken = 50.0) }
+        val parts = observed.chunked(2).map { part -> part.fold(VersionTally()) { sum, one -> sum.plus(one, 50.0) } }
+        expectThat(parts[0] + parts[1]).isEqualTo(total)
+        expectThat(total.slow).isEqualTo(1)
     }
 
-    private fun verdictsOnEqualVersions(random: Random): List<RolloutDecision> {
+    private fun decisionsOnEqualVersions(random: Random): List<RolloutDecision> {
         val periods = ArrayDeque<RolloutEvidence>()
         return List(500) { index ->
             if (index % 50 == 0) periods.addLast(RolloutEvidence())
--- a/routing/src/test/kotlin/io/carawaytrack/routing/RoutingFixtures.kt
+++ b/routing/src/test/kotlin/io/carawaytrack/routing/RoutingFixtures.kt
@@ -1,5 +1,5 @@
 /*
- * Small deployments and requests that the tests of the decisions share.
+ * Small deployments and requests shared by the tests of planning and load balancing.
  */
 package io.carawaytrack.routing
 
--- a/routing/src/test/kotlin/io/carawaytrack/routing/UpstreamChooserTest.kt
+++ b/routing/src/test/kotlin/io/carawaytrack/routing/UpstreamChooserTest.kt
@@ -1,5 +1,5 @@
 /*
- * Which upstream a choice names, as tables of cases.
+ * Tests which upstream is chosen for an attempt.
  */
 package io.carawaytrack.routing
 
@@ -33,62 +33,62 @@
 
     private val choices =
         listOf(
-            Choice("the least outstanding", listOf(announced("u1", queuedTokens = 9), announced("u2")), "u2"),
+            Choice("the least loaded upstream", listOf(announced("u1", queuedTokens = 9), announced("u2")), "u2"),
             Choice(
-                "a busier local one before one elsewhere",
+                "a local upstream with more load before one in another zone",
                 listOf(announced("u1", queuedTokens = 9), announced("u2", zone = "b")),
                 "u1",
             ),
             Choice(
-                "one elsewhere when the local one is far busier",
+                "an upstream in another zone when the local one has far more load",
                 listOf(announced("u1", queuedTokens = 900), announced("u2", zone = "b")),
                 "u2",
             ),
             Choice(
-                "one elsewhere when the local one is full",
+                "an upstream in another zone when the local one is full",
                 listOf(announced("u1", running = 4), announced("u2", zone = "b")),
                 "u2",
             ),
             Choice(
-                "none that has refused",
+                "no upstream that has refused the request",
                 listOf(announced("u1"), announced("u2", zone = "b")),
                 "u2",
                 request = ChoiceRequest(small, excluded = setOf(UpstreamId("u1"))),
             ),
             Choice(
-                "none outside the member's list",
+                "no upstream outside the allowed list",
                 listOf(announced("u1"), announced("u2")),
                 "u2",
                 request = ChoiceRequest(small, allowed = listOf(UpstreamId("u2"))),
             ),
             Choice(
-                "none in a zone that is out",
+                "no upstream in a zone that is out of service",
                 listOf(announced("u1"), announced("u2", zone = "b")),
                 "u2",
                 Configuration(zonesOut = setOf(ZoneName("a"))),
             ),
             Choice(
-                "none that is out itself",
+                "no upstream that is out of service itself",
                 listOf(announced("u1"), announced("u2")),
                 "u2",
                 Configuration(upstreamsOut = setOf(UpstreamId("u1"))),
             ),
-            Choice("none that is leaving", listOf(announced("u1", leaving = true), announced("u2")), "u2"),
-            Choice("only those of the version", listOf(announced("u1", version = large), announced("u2")), "u2"),
+            Choice("no upstream that is leaving", listOf(announced("u1", leaving = true), announced("u2")), "u2"),
+            Choice("one that serves the version", listOf(announced("u1", version = large), announced("u2")), "u2"),
             Choice(
-                "nothing, since all are full",
+                "none because all are full",
                 listOf(announced("u1", running = 4), announced("u2", permits = 0)),
                 "PoolExhausted",
             ),
             Choice(
-                "nothing, since none serves the version",
+                "none because none serves the version",
                 listOf(announced("u1", version = large)),
                 "NoHealthyUpstream",
             ),
         )
 
     @TestFactory
-    fun `choose takes`(): List<DynamicTest> = choices.map { case ->
+    fun `choose returns`(): List<DynamicTest> = choices.map { case ->
         dynamicTest(case.name) {
             val chooser = chooser()
             chooser.update(membership(*case.upstreams.toTypedArray()))
@@ -107,7 +107,7 @@
     }
 
     @Test
-    fun `a report replaces the announced load`() {
+    fun `a reported load replaces the announced one`() {
         val chooser = chooser()
         chooser.update(membership(announced("u1"), announced("u2", queuedTokens = 50)))
         chooser.report(UpstreamId("u1"), UpstreamLoad(permits = 4, running = 1, queuedTokens = 100))
@@ -115,7 +115,7 @@
     }
 
     @Test
-    fun `an exhausted pool hints when to retry`() {
+    fun `an exhausted pool returns a retry hint`() {
         val chooser = chooser()
         chooser.update(membership(announced("u1", permits = 0)))
         val hint = chooser.choose(Configuration(), ChoiceRequest(small)).fold({ null }, { it.retryAfterMillis })
@@ -135,7 +135,7 @@
     }
 
     @Test
-    fun `an upstream that fails three times in a row is left alone for a second and then tried with one request`() {
+    fun `an upstream is ejected for a second after three consecutive failures and then probed with one request`() {
         val chooser = chooser()
         chooser.update(membership(announced("u1"), announced("u2", zone = "b")))
         repeat(3) { chooser.finished(UpstreamId("u1"), tokens = 0, healthy = false) }
@@ -149,7 +149,7 @@
     }
 
     @Test
-    fun `an upstream that is the only one left is tried though it failed`() {
+    fun `the only upstream is used even after failures`() {
         val chooser = chooser()
         chooser.update(membership(announced("u1")))
         repeat(5) { chooser.finished(UpstreamId("u1"), tokens = 0, healthy = false) }
@@ -157,7 +157,7 @@
     }
 
     @Test
-    fun `a zone that comes back gets its permits back in steps`() {
+    fun `a zone that returns to service regains its permits gradually`() {
         val chooser = chooser()
         val out = Configuration(zonesOut = setOf(ZoneName("a")))
         chooser.update(membership(announced("u1", permits = 4)))
@@ -173,7 +173,7 @@
     }
 
     @Test
-    fun `an announcement does not hide the attempts that were started while it was on its way`() {
+    fun `an announcement does not discard attempts that were started after its load was read`() {
         val chooser = chooser()
         chooser.update(membership(announced("u1", permits = 2), number = 1))
         repeat(2) { chooser.started(UpstreamId("u1"), tokens = 1) }
