--- a/limits/src/main/kotlin/io/carawaytrack/limits/AdmissionQueue.kt
+++ b/limits/src/main/kotlin/io/carawaytrack/limits/AdmissionQueue.kt
@@ -1,7 +1,8 @@
 /*
- * The queue in front of an upstream. It lets as many requests run as there are permits; the others wait by priority and
- * then by a weighted fair share of each organisation. It is bounded, refuses early what would miss its deadline, and
- * when it is full the organisation that holds most of it for its share gives way.
+ * The admission queue in front of an upstream. It admits as many concurrent requests as there are permits; the others
+ * wait in order of priority and then of a weighted fair share of each organisation. The queue is bounded and rejects
+ * early the requests that would miss their deadline. When it is full, a request of the organisation that uses most of
+ * it in proportion to its share is evicted.
  */
 package io.carawaytrack.limits
 
@@ -21,11 +22,11 @@
 import kotlin.math.ceil
 
 /**
- * Describes a request that wants to run.
+ * Describes a request for admission.
  *
  * @property share weight of the organisation
- * @property cost what the request counts for against the share, in tokens
- * @property deadlineMillis moment by which it must have begun, on the queue's clock; null for none
+ * @property cost amount charged against the share, in tokens
+ * @property deadlineMillis latest start, on the clock of the queue; null for none
  */
 public data class AdmissionRequest(
     val organisation: OrganisationName,
@@ -36,47 +37,47 @@
 )
 
 /**
- * Sets up an admission queue.
+ * Configures an admission queue.
  *
- * @property maxWaiting requests that may wait
- * @property expectedHoldMillis time that a request is assumed to run before any has ended
+ * @property maxWaiting maximum number of waiting requests
+ * @property initialServiceTimeMillis assumed time that a request runs, until the first one has ended
  */
 public data class AdmissionSettings(
     val maxWaiting: Int = 256,
-    val expectedHoldMillis: Long = 0,
+    val initialServiceTimeMillis: Long = 0,
 )
 
-/** Allows one request to run; closing it, once or more often, lets the next one in. */
+/** Permission for one request to run. Closing it admits the next one; repeated calls have no effect. */
 public interface Ticket : AutoCloseable {
     override fun close()
 }
 
-/** Decides when a request may run. */
+/** Decides when each request may run. */
 public interface AdmissionQueue {
-    /** Requests that hold a ticket. */
+    /** Number of requests that hold a ticket. */
     public val running: Int
 
-    /** Requests that wait for one. */
+    /** Number of requests that wait for a ticket. */
     public val waiting: Int
 
     /**
      * Waits for a ticket. Fails, always with `NotRun`, with `OrganisationLimit` or `PoolExhausted` and a retry hint
-     * when the queue is full or the deadline would pass, and with `ShuttingDown` after [stopAccepting]. A caller that is
-     * cancelled while it waits holds nothing.
+     * when the queue is full or the deadline would pass, and with `ShuttingDown` after [stopAccepting]. When the caller
+     * is cancelled while it waits, its place in the queue and any ticket already granted are released.
      */
     public suspend fun acquire(request: AdmissionRequest): Result<Ticket, Failure>
 
-    /** Lets in as many as the permits allow; to be called when they have risen. */
+    /** Admits as many waiting requests as the permits allow; must be called when the permits have increased. */
     public fun permitsChanged()
 
-    /** Refuses every later request; those that wait still get their turn. */
+    /** Rejects every later request; requests that already wait are still admitted. */
     public fun stopAccepting()
 
-    /** Suspends until nothing runs or waits. */
+    /** Suspends until no request runs or waits. */
     public suspend fun awaitIdle()
 }
 
-/** Creates an admission queue that lets [permits] requests run at once. */
+/** Creates an admission queue that runs at most as many concurrent requests as [permits] returns. */
 public fun AdmissionQueue(
     settings: AdmissionSettings,
     nowMillis: () -> Long,
@@ -88,13 +89,13 @@
     val virtualStart: Double,
     val arrival: Long,
 ) {
-    val turn = CompletableDeferred<Result<Ticket, Failure>>()
+    val outcome = CompletableDeferred<Result<Ticket, Failure>>()
 
     @Volatile
     var ticket: Ticket? = null
 }
 
-private val ORDER_OF_TURNS = compareBy<Waiter>({ it.request.priority }, { it.virtualStart }, { it.arrival })
+private val ADMISSION_ORDER = compareBy<Waiter>({ it.request.priority }, { it.virtualStart }, { it.arrival })
 
 private class FairAdmissionQueue(
     private val settings: AdmissionSettings,
@@ -102,55 +103,56 @@
     private val permits: () -> Int,
 ) : AdmissionQueue {
     private val lock = Any()
-    private val waiters = TreeSet(ORDER_OF_TURNS)
-    private val fairClock = FairClock()
-    private val held = MutableStateFlow(0)
-    private var taken = 0
-    private var arrivals = 0L
+    private val waiters = TreeSet(ADMISSION_ORDER)
+    private val virtualClock = VirtualClock()
+    private val unfinishedCount = MutableStateFlow(0)
+    private var runningCount = 0
+    private var arrivalCount = 0L
     private var isClosed = false
-    private var holdMillis = settings.expectedHoldMillis.toDouble()
+    private var meanServiceMillis = settings.initialServiceTimeMillis.toDouble()
 
-    override val running: Int get() = synchronized(lock) { taken }
+    override val running: Int get() = synchronized(lock) { runningCount }
     override val waiting: Int get() = synchronized(lock) { waiters.size }
 
     override suspend fun acquire(request: AdmissionRequest): Result<Ticket, Failure> {
-        val waiter = enter(request)
-        var isAnswered = false
+        val waiter = enqueue(request)
+        var isSettled = false
         try {
-            val answer = await(waiter)
-            isAnswered = true
-            return answer
+            val outcome = awaitOutcome(waiter)
+            isSettled = true
+            return outcome
         } finally {
-            if (!isAnswered) giveUp(waiter)
+            if (!isSettled) abandon(waiter)
         }
     }
 
-    override fun permitsChanged(): Unit = change { admitWaiting() }
+    override fun permitsChanged(): Unit = update { admitWaiting() }
 
-    override fun stopAccepting(): Unit = change { isClosed = true }
+    override fun stopAccepting(): Unit = update { isClosed = true }
 
     override suspend fun awaitIdle() {
-        held.first { it == 0 }
+        unfinishedCount.first { it == 0 }
     }
 
-    private suspend fun await(waiter: Waiter): Result<Ticket, Failure> {
-        val deadlineMillis = waiter.request.deadlineMillis ?: return waiter.turn.await()
-        val leftMillis = maxOf(0, deadlineMillis - nowMillis())
-        val answer = withTimeoutOrNull(leftMillis) { waiter.turn.await() }
-        if (answer != null) return answer
-        val waited = Err(ErrorKind.PoolExhausted.notRun("waited $leftMillis ms for a ticket", retryHintMillis()))
-        val wasWaiting = change { leave(waiter) }
-        return if (wasWaiting) waited else waiter.turn.await()
+    private suspend fun awaitOutcome(waiter: Waiter): Result<Ticket, Failure> {
+        val deadlineMillis = waiter.request.deadlineMillis ?: return waiter.outcome.await()
+        val remainingMillis = maxOf(0, deadlineMillis - nowMillis())
+        val outcome = withTimeoutOrNull(remainingMillis) { waiter.outcome.await() }
+        if (outcome != null) return outcome
+        val timedOut =
+            Err(ErrorKind.PoolExhausted.notRun("no permit within $remainingMillis ms of waiting", retryHintMillis()))
+        val wasWaiting = update { removeWaiting(waiter) }
+        return if (wasWaiting) timedOut else waiter.outcome.await()
     }
 
-    /** Queues the request, answers it at once, or both. */
-    private fun enter(request: AdmissionRequest): Waiter = change {
-        val waiter = Waiter(request, fairClock.startOf(request), arrivals++)
+    /** Queues the request or rejects it; the outcome may already be complete on return. */
+    private fun enqueue(request: AdmissionRequest): Waiter = update {
+        val waiter = Waiter(request, virtualClock.startOf(request), arrivalCount++)
         val refusal = refusalOf(waiter)
         if (refusal != null) {
-            waiter.turn.complete(Err(refusal))
+            waiter.outcome.complete(Err(refusal))
         } else {
-            fairClock.charge(request, waiter.virtualStart)
+            virtualClock.charge(request, waiter.virtualStart)
             waiters += waiter
             admitWaiting()
         }
@@ -159,127 +161,133 @@
 
     private fun refusalOf(waiter: Waiter): Failure? {
         if (isClosed) return ErrorKind.ShuttingDown.notRun()
-        if (waiters.isEmpty() && taken < permits()) return null
+        if (waiters.isEmpty() && runningCount < permits()) return null
         val ahead = waiters.headSet(waiter).size
         val waitMillis = expectedWaitMillis(ahead)
         val deadlineMillis = waiter.request.deadlineMillis
         if (deadlineMillis != null && nowMillis() + waitMillis > deadlineMillis) {
-            val leftMillis = deadlineMillis - nowMillis()
-            return ErrorKind.PoolExhausted.notRun("would wait $waitMillis ms of $leftMillis ms", waitMillis)
+            val remainingMillis = deadlineMillis - nowMillis()
+            return ErrorKind.PoolExhausted.notRun(
+                "expected wait of $waitMillis ms exceeds the time until the deadline, $remainingMillis ms",
+                waitMillis,
+            )
         }
-        return if (waiters.size < settings.maxWaiting) null else makeRoomFor(waiter)
+        return if (waiters.size < settings.maxWaiting) null else evictFor(waiter)
     }
 
-    /** Turns out the waiting request that has the least claim to its place, or returns why there is none. */
-    private fun makeRoomFor(newcomer: Waiter): Failure? {
+    /** Evicts a waiting request in favour of [arriving], or returns why [arriving] is rejected instead. */
+    private fun evictFor(arriving: Waiter): Failure? {
         val waitingByOrganisation = waiters.groupingBy { it.request.organisation }.eachCount()
 
-        fun holdingOf(request: AdmissionRequest) =
+        fun queueUseOf(request: AdmissionRequest) =
             (waitingByOrganisation[request.organisation] ?: 0).toDouble() / request.share
-        val last = waiters.lastOrNull() ?: return ErrorKind.PoolExhausted.notRun(retryAfterMillis = retryHintMillis())
-        val lowest = waiters.filter { it.request.priority == last.request.priority }
-        val victim = lowest.maxWith(compareBy({ holdingOf(it.request) }, { it.virtualStart }, { it.arrival }))
-        val isLower = victim.request.priority > newcomer.request.priority
-        val isEqual = victim.request.priority == newcomer.request.priority
-        val newcomerHolding = holdingOf(newcomer.request) + 1.0 / newcomer.request.share
-        if (isLower || (isEqual && newcomerHolding < holdingOf(victim.request))) {
-            leave(victim)
-            victim.turn.complete(Err(ErrorKind.OrganisationLimit.notRun(retryAfterMillis = retryHintMillis())))
+        val tail = waiters.lastOrNull() ?: return ErrorKind.PoolExhausted.notRun(retryAfterMillis = retryHintMillis())
+        val candidates = waiters.filter { it.request.priority == tail.request.priority }
+        val victim = candidates.maxWith(compareBy({ queueUseOf(it.request) }, { it.virtualStart }, { it.arrival }))
+        val isLower = victim.request.priority > arriving.request.priority
+        val isEqual = victim.request.priority == arriving.request.priority
+        val arrivingUse = queueUseOf(arriving.request) + 1.0 / arriving.request.share
+        if (isLower || (isEqual && arrivingUse < queueUseOf(victim.request))) {
+            removeWaiting(victim)
+            victim.outcome.complete(Err(ErrorKind.OrganisationLimit.notRun(retryAfterMillis = retryHintMillis())))
             return null
         }
-        val isOverShare = waitingByOrganisation.size > 1 && newcomerHolding > holdingOf(victim.request)
+        val isOverShare = waitingByOrganisation.size > 1 && arrivingUse > queueUseOf(victim.request)
         val kind = if (isOverShare) ErrorKind.OrganisationLimit else ErrorKind.PoolExhausted
-        return kind.notRun("${waiters.size} requests wait, the most allowed", retryHintMillis())
+        return kind.notRun("the wait queue is full: ${waiters.size} requests wait, the maximum", retryHintMillis())
     }
 
     private fun admitWaiting() {
-        while (taken < permits()) {
+        while (runningCount < permits()) {
             val next = waiters.pollFirst() ?: return
-            fairClock.served(next.virtualStart)
+            virtualClock.advanceTo(next.virtualStart)
             val deadlineMillis = next.request.deadlineMillis
             if (deadlineMillis != null && nowMillis() > deadlineMillis) {
-                fairClock.refund(next.request)
-                next.turn.complete(Err(ErrorKind.PoolExhausted.notRun("the deadline passed", retryHintMillis())))
+                virtualClock.refund(next.request)
+                next.outcome.complete(
+                    Err(ErrorKind.PoolExhausted.notRun("deadline passed before a permit was free", retryHintMillis())),
+                )
                 continue
             }
-            taken += 1
-            val ticket = HeldTicket(nowMillis())
+            runningCount += 1
+            val ticket = RunningTicket(nowMillis())
             next.ticket = ticket
-            next.turn.complete(Ok(ticket))
+            next.outcome.complete(Ok(ticket))
         }
     }
 
-    /** Leaves the queue; a ticket that was handed over at the same moment goes to the next one. */
-    private fun giveUp(waiter: Waiter) {
-        change { leave(waiter) }
+    /** Removes a cancelled request; a ticket that it was granted at the same time passes to the next one. */
+    private fun abandon(waiter: Waiter) {
+        update { removeWaiting(waiter) }
         waiter.ticket?.close()
     }
 
-    /** Takes a request that was not served out of the queue; returns whether it was there. */
-    private fun leave(waiter: Waiter): Boolean {
+    /** Removes a request that was not admitted from the queue; returns whether it was still waiting. */
+    private fun removeWaiting(waiter: Waiter): Boolean {
         val wasWaiting = waiters.remove(waiter)
-        if (wasWaiting) fairClock.refund(waiter.request)
+        if (wasWaiting) virtualClock.refund(waiter.request)
         return wasWaiting
     }
 
-    private fun expectedWaitMillis(ahead: Int): Long = ceil(holdMillis * (ahead + 1) / maxOf(1, permits())).toLong()
+    private fun expectedWaitMillis(ahead: Int): Long =
+        ceil(meanServiceMillis * (ahead + 1) / maxOf(1, permits())).toLong()
 
-    private fun retryHintMillis(): Long = maxOf(SHORTEST_RETRY_HINT_MILLIS, expectedWaitMillis(waiters.size))
+    private fun retryHintMillis(): Long = maxOf(MIN_RETRY_HINT_MILLIS, expectedWaitMillis(waiters.size))
 
-    private fun <T> change(block: () -> T): T = synchronized(lock) { block().also { publish() } }
+    private fun <T> update(block: () -> T): T = synchronized(lock) { block().also { publish() } }
 
     private fun publish() {
-        held.value = taken + waiters.size
+        unfinishedCount.value = runningCount + waiters.size
     }
 
-    private inner class HeldTicket(
-        private val sinceMillis: Long,
+    private inner class RunningTicket(
+        private val startedAtMillis: Long,
     ) : Ticket {
         private var isOpen = true
 
-        override fun close(): Unit = change {
-            if (!isOpen) return@change
+        override fun close(): Unit = update {
+            if (!isOpen) return@update
             isOpen = false
-            taken -= 1
-            val heldMillis = nowMillis() - sinceMillis
-            holdMillis += (heldMillis - holdMillis) * WEIGHT_OF_LAST_HOLD
+            runningCount -= 1
+            val serviceMillis = nowMillis() - startedAtMillis
+            meanServiceMillis += (serviceMillis - meanServiceMillis) * SERVICE_TIME_SMOOTHING_RATIO
             admitWaiting()
         }
     }
 
     private companion object {
-        const val WEIGHT_OF_LAST_HOLD = 0.1
-        const val SHORTEST_RETRY_HINT_MILLIS = 100L
+        const val SERVICE_TIME_SMOOTHING_RATIO = 0.1
+        const val MIN_RETRY_HINT_MILLIS = 100L
     }
 }
 
-/** Gives each request the virtual time at which it is due, by start-time fair queueing. */
-private class FairClock {
-    private val dueNext = HashMap<OrganisationName, Double>()
+/** Assigns each request its virtual start time, by start-time fair queueing. */
+private class VirtualClock {
+    private val nextStarts = HashMap<OrganisationName, Double>()
     private var virtualNow = 0.0
 
-    fun startOf(request: AdmissionRequest): Double = maxOf(virtualNow, dueNext[request.organisation] ?: 0.0)
+    fun startOf(request: AdmissionRequest): Double = maxOf(virtualNow, nextStarts[request.organisation] ?: 0.0)
 
     fun charge(
         request: AdmissionRequest,
         start: Double,
     ) {
-        dueNext[request.organisation] = start + request.virtualCost
-        if (dueNext.size > ORGANISATIONS_BEFORE_PRUNING) dueNext.values.removeIf { it <= virtualNow }
+        nextStarts[request.organisation] = start + request.virtualCost
+        if (nextStarts.size > PRUNING_THRESHOLD_ORGANISATIONS) nextStarts.values.removeIf { it <= virtualNow }
     }
 
-    /** Takes back the charge of a request that was not served. */
+    /** Reverts the charge of a request that was not admitted. */
     fun refund(request: AdmissionRequest) {
-        dueNext.computeIfPresent(request.organisation) { _, due -> due - request.virtualCost }
+        nextStarts.computeIfPresent(request.organisation) { _, start -> start - request.virtualCost }
     }
 
-    fun served(start: Double) {
+    fun advanceTo(start: Double) {
         virtualNow = maxOf(virtualNow, start)
     }
 
     private val AdmissionRequest.virtualCost: Double get() = cost.toDouble() / maxOf(1, share)
 
     private companion object {
-        const val ORGANISATIONS_BEFORE_PRUNING = 256
+        const val PRUNING_THRESHOLD_ORGANISATIONS = 256
     }
 }
--- a/limits/src/main/kotlin/io/carawaytrack/limits/ConcurrencyLimit.kt
+++ b/limits/src/main/kotlin/io/carawaytrack/limits/ConcurrencyLimit.kt
@@ -1,6 +1,6 @@
 /*
- * The number of requests that one upstream serves best at once, found from how its time per token answers to the load.
- * A rule looks at one window of completed requests after the other and moves the limit.
+ * Adaptive concurrency limit of one upstream, derived from how its time per token responds to the load. A rule
+ * evaluates one window of completed requests after another and adjusts the limit.
  */
 package io.carawaytrack.limits
 
@@ -8,62 +8,65 @@
  * Describes a window of completed requests.
  *
  * @property tokenMillis mean time per token within the window
- * @property idleTokenMillis time per token of the upstream when it is not loaded, as far as known
- * @property isUsed whether the limit was nearly reached, without which nothing can be learned from it
+ * @property idleTokenMillis time per token of the upstream without load, as far as known
+ * @property isNearLimit whether the limit was nearly reached; otherwise the window says nothing about a higher limit
  */
 public data class LimitWindow(
     val tokenMillis: Double,
     val idleTokenMillis: Double,
-    val isUsed: Boolean,
+    val isNearLimit: Boolean,
 )
 
-/** Returns the next limit from the present one and what was seen under it. */
+/** Returns the next limit, given the current limit and a window observed under it. */
 public typealias LimitRule = (limit: Double, window: LimitWindow) -> Double
 
-/** Raises the limit by one while the time per token is within [tolerance] of the idle one, else lowers it by a part. */
+/**
+ * Returns a rule of additive increase and multiplicative decrease: the limit rises by one while it is nearly reached
+ * and the time per token is at most [tolerance] times the idle one, and is multiplied by [decrease] above that.
+ */
 public fun aimdRule(
     tolerance: Double = 1.5,
     decrease: Double = 0.9,
 ): LimitRule = { limit, window ->
     when {
         window.tokenMillis > window.idleTokenMillis * tolerance -> limit * decrease
-        window.isUsed -> limit + 1
+        window.isNearLimit -> limit + 1
         else -> limit
     }
 }
 
 /**
- * Sets up a concurrency limit.
+ * Configures a concurrency limit.
  *
- * @property windowSize completed requests that make a window
- * @property probeWindows windows after which the limit is lowered once and the idle time per token learned anew, as the
- * upstream may have become slower or faster for good
+ * @property windowSize completed requests in a window
+ * @property probeWindows windows after which the limit is lowered once and the idle time per token is measured again,
+ * because the upstream may have become permanently slower or faster
  */
 public data class ConcurrencySettings(
-    val startLimit: Int = 4,
+    val initialLimit: Int = 4,
     val minLimit: Int = 1,
     val maxLimit: Int = 256,
     val windowSize: Int = 16,
     val probeWindows: Int = 64,
 )
 
-/** Finds out how many requests an upstream should run at once. */
+/** Estimates how many requests an upstream should run concurrently. */
 public interface ConcurrencyLimit {
-    /** Limit now. */
+    /** Current limit. */
     public val limit: Int
 
-    /** Takes in that a request of [tokens] took [latencyMillis] while [running] requests, itself included, ran. */
+    /** Records that a request of [tokens] took [latencyMillis] while [running] requests, including it, were running. */
     public fun completed(
         latencyMillis: Long,
         tokens: Long,
         running: Int,
     )
 
-    /** Takes in that the upstream failed a request or refused it as too much. */
+    /** Records that the upstream failed a request or rejected it because of overload. */
     public fun failed()
 }
 
-/** Creates a concurrency limit that moves by [rule]. */
+/** Creates a concurrency limit that is adjusted by [rule]. */
 public fun ConcurrencyLimit(
     settings: ConcurrencySettings = ConcurrencySettings(),
     rule: LimitRule = aimdRule(),
@@ -74,15 +77,15 @@
     private val rule: LimitRule,
 ) : ConcurrencyLimit {
     private val lock = Any()
-    private var current = settings.startLimit.toDouble()
-    private var idleMillis = Double.MAX_VALUE
+    private var currentLimit = settings.initialLimit.toDouble()
+    private var idleTokenMillis = Double.MAX_VALUE
     private var isProbing = false
-    private var windows = 0
+    private var windowCount = 0
     private var sumMillis = 0.0
     private var peakRunning = 0
-    private var size = 0
+    private var requestCount = 0
 
-    override val limit: Int get() = synchronized(lock) { current.toInt() }
+    override val limit: Int get() = synchronized(lock) { currentLimit.toInt() }
 
     override fun completed(
         latencyMillis: Long,
@@ -91,48 +94,48 @@
     ): Unit = synchronized(lock) {
         sumMillis += millisPerToken(latencyMillis, tokens)
         peakRunning = maxOf(peakRunning, running)
-        size += 1
-        if (size >= settings.windowSize) endWindow()
+        requestCount += 1
+        if (requestCount >= settings.windowSize) endWindow()
     }
 
-    override fun failed(): Unit = synchronized(lock) { move(current * DECREASE_ON_FAILURE) }
+    override fun failed(): Unit = synchronized(lock) { setLimit(currentLimit * FAILURE_DECREASE_RATIO) }
 
     private fun endWindow() {
-        val tokenMillis = maxOf(sumMillis / size, SHORTEST_TOKEN_MILLIS)
-        rememberIdle(tokenMillis)
+        val tokenMillis = maxOf(sumMillis / requestCount, MIN_TOKEN_MILLIS)
+        updateIdleTime(tokenMillis)
         if (isProbing) {
             isProbing = false
-            move(current * PROBE_SHARE)
+            setLimit(currentLimit * PROBE_LIMIT_RATIO)
             return clearWindow()
         }
-        val isUsed = peakRunning >= current.toInt() * USED_SHARE
-        move(rule(current, LimitWindow(tokenMillis, idleMillis, isUsed)))
+        val isNearLimit = peakRunning >= currentLimit.toInt() * NEAR_LIMIT_RATIO
+        setLimit(rule(currentLimit, LimitWindow(tokenMillis, idleTokenMillis, isNearLimit)))
         clearWindow()
     }
 
     private fun clearWindow() {
         sumMillis = 0.0
         peakRunning = 0
-        size = 0
+        requestCount = 0
     }
 
-    /** Keeps the fastest window; forgets it now and then and looks again under less load. */
-    private fun rememberIdle(tokenMillis: Double) {
-        idleMillis = minOf(idleMillis, tokenMillis)
-        windows += 1
-        if (windows % settings.probeWindows != 0) return
-        idleMillis = Double.MAX_VALUE
+    /** Keeps the time per token of the fastest window; discards it regularly to measure it again under less load. */
+    private fun updateIdleTime(tokenMillis: Double) {
+        idleTokenMillis = minOf(idleTokenMillis, tokenMillis)
+        windowCount += 1
+        if (windowCount % settings.probeWindows != 0) return
+        idleTokenMillis = Double.MAX_VALUE
         isProbing = true
     }
 
-    private fun move(next: Double) {
-        current = next.coerceIn(settings.minLimit.toDouble(), settings.maxLimit.toDouble())
+    private fun setLimit(next: Double) {
+        currentLimit = next.coerceIn(settings.minLimit.toDouble(), settings.maxLimit.toDouble())
     }
 
     private companion object {
-        const val DECREASE_ON_FAILURE = 0.7
-        const val USED_SHARE = 0.9
-        const val PROBE_SHARE = 0.5
-        const val SHORTEST_TOKEN_MILLIS = 0.001
+        const val FAILURE_DECREASE_RATIO = 0.7
+        const val NEAR_LIMIT_RATIO = 0.9
+        const val PROBE_LIMIT_RATIO = 0.5
+        const val MIN_TOKEN_MILLIS = 0.001
     }
 }
--- a/limits/src/main/kotlin/io/carawaytrack/limits/MemoryBudget.kt
+++ b/limits/src/main/kotlin/io/carawaytrack/limits/MemoryBudget.kt
@@ -1,10 +1,10 @@
 /*
- * The bytes of answers that a process holds for its readers, bounded for each stream and for all together.
+ * Memory budget for the answers that a process buffers for its readers, limited per stream and in total.
  *
- * The rule when memory runs out: a stream at its own bound pauses. Above the soft bound of the process a slow stream
- * pauses and a fast one goes on. At the hard bound the slow stream that holds the most is ended; where no stream is
- * slow, the asking one pauses and none is ended. A stream is slow when its oldest byte has waited for its reader longer
- * than a set time, so a reader that trickles is slow and one that holds much for a moment is not.
+ * A stream at its own limit pauses. Above the soft limit of the process, slow streams pause and fast ones continue. At
+ * the hard limit, the slow stream that holds the most is ended; when no stream is slow, the requesting stream pauses
+ * and none is ended. A stream is slow when its oldest byte has waited for the reader longer than a set time. By that
+ * definition a stream whose reader consumes small amounts is slow, and one that holds much for a moment is not.
  */
 package io.carawaytrack.limits
 
@@ -21,23 +21,23 @@
 )
 
 /**
- * Sets up a memory budget.
+ * Configures a memory budget.
  *
- * @property hardBytes most that all streams may hold
- * @property softBytes held bytes above which slow streams get no more
- * @property streamBytes most that one stream may hold
+ * @property hardBytes maximum bytes that all streams may hold together
+ * @property softBytes total of held bytes above which slow streams are granted no more
+ * @property streamBytes maximum bytes that one stream may hold
  * @property slowAfterMillis time that a byte may wait for its reader before the stream counts as slow
  */
 public data class MemorySettings(
     val hardBytes: Long,
-    val softBytes: Long = (hardBytes * SOFT_SHARE).toLong(),
+    val softBytes: Long = (hardBytes * SOFT_LIMIT_RATIO).toLong(),
     val streamBytes: Long,
     val slowAfterMillis: Long = 1_000,
 )
 
-private const val SOFT_SHARE = 0.75
+private const val SOFT_LIMIT_RATIO = 0.75
 
-/** Tells what a stream that asked for memory has to do. */
+/** Describes what a stream that requested memory must do. */
 public sealed interface MemoryDecision {
     /** The bytes are reserved. */
     public data object Granted : MemoryDecision
@@ -46,20 +46,20 @@
     public data object Pause : MemoryDecision
 
     /**
-     * Nothing is reserved; the caller ends [stream], closes it here, and asks again. Where [stream] is the asking one,
-     * it is to be ended itself, or has been closed already.
+     * Nothing is reserved; the caller ends [stream], closes it in the budget, and requests again. When [stream] is the
+     * requesting one, it must end itself or has already been closed.
      */
     public data class End(
         val stream: StreamId,
     ) : MemoryDecision
 }
 
-/** Bounds the memory that streams hold. */
+/** Limits the memory that streams hold. */
 public interface MemoryBudget {
-    /** Bytes held now. */
+    /** Bytes currently held by all streams. */
     public val usedBytes: Long
 
-    /** Makes [stream] known, with nothing held. */
+    /** Registers [stream] with no bytes held. */
     public fun open(stream: StreamId)
 
     /** Reserves [bytes] for [stream]. */
@@ -68,13 +68,13 @@
         bytes: Long,
     ): MemoryDecision
 
-    /** Gives back [bytes] that the reader of [stream] has taken. */
+    /** Releases [bytes] that the reader of [stream] has consumed. */
     public fun release(
         stream: StreamId,
         bytes: Long,
     )
 
-    /** Forgets [stream] and gives back all it holds. */
+    /** Removes [stream] and releases all bytes it holds. */
     public fun close(stream: StreamId)
 
     /** Suspends until [bytes] for [stream] would be granted, or the stream is closed. */
@@ -90,8 +90,8 @@
     nowMillis: () -> Long,
 ): MemoryBudget = ShardedMemoryBudget(settings, nowMillis)
 
-/** Counts what one stream holds, under its own lock. */
-private class StreamHolding(
+/** Tracks the bytes held by one stream, under a lock of its own. */
+private class StreamUsage(
     val stream: StreamId,
 ) {
     private class Part(
@@ -106,7 +106,7 @@
     var heldBytes = 0L
         private set
 
-    /** Returns false, and adds nothing, when the stream has been closed. */
+    /** Adds [bytes]; returns false and adds nothing when the stream has been closed. */
     @Synchronized
     fun add(
         bytes: Long,
@@ -115,7 +115,7 @@
         if (isClosed) return false
         heldBytes += bytes
         val last = parts.lastOrNull()
-        if (last != null && nowMillis - last.sinceMillis < PART_MILLIS) {
+        if (last != null && nowMillis - last.sinceMillis < PART_MERGE_MILLIS) {
             last.bytes += bytes
         } else {
             parts.addLast(Part(nowMillis, bytes))
@@ -123,35 +123,35 @@
         return true
     }
 
-    /** Takes off all bytes and returns how many there were. */
+    /** Removes all bytes and returns their number. */
     @Synchronized
     fun close(): Long {
         isClosed = true
-        return take(heldBytes)
+        return remove(heldBytes)
     }
 
-    /** Takes off the oldest bytes and returns how many there were. */
+    /** Removes up to [bytes] of the oldest bytes and returns the number removed. */
     @Synchronized
-    fun take(bytes: Long): Long {
-        var left = minOf(bytes, heldBytes)
-        val taken = left
-        heldBytes -= taken
-        while (left > 0) {
+    fun remove(bytes: Long): Long {
+        var remaining = minOf(bytes, heldBytes)
+        val removed = remaining
+        heldBytes -= removed
+        while (remaining > 0) {
             val first = parts.first()
-            val part = minOf(left, first.bytes)
+            val part = minOf(remaining, first.bytes)
             first.bytes -= part
-            left -= part
+            remaining -= part
             if (first.bytes == 0L) parts.removeFirst()
         }
-        return taken
+        return removed
     }
 
-    /** Time that the oldest byte has waited. */
+    /** Time that the oldest byte has waited for its reader. */
     @Synchronized
-    fun waitedMillis(nowMillis: Long): Long = parts.firstOrNull()?.let { nowMillis - it.sinceMillis } ?: 0
+    fun oldestAgeMillis(nowMillis: Long): Long = parts.firstOrNull()?.let { nowMillis - it.sinceMillis } ?: 0
 
     private companion object {
-        const val PART_MILLIS = 10
+        const val PART_MERGE_MILLIS = 10
     }
 }
 
@@ -159,36 +159,36 @@
     private val settings: MemorySettings,
     private val nowMillis: () -> Long,
 ) : MemoryBudget {
-    private val streams = ConcurrentHashMap<StreamId, StreamHolding>()
+    private val streams = ConcurrentHashMap<StreamId, StreamUsage>()
     private val used = AtomicLong()
     private val releases = MutableStateFlow(0L)
 
     override val usedBytes: Long get() = used.get()
 
     override fun open(stream: StreamId) {
-        streams.putIfAbsent(stream, StreamHolding(stream))
+        streams.putIfAbsent(stream, StreamUsage(stream))
     }
 
     override fun reserve(
         stream: StreamId,
         bytes: Long,
     ): MemoryDecision {
-        val holding = streams[stream] ?: return MemoryDecision.End(stream)
-        if (!fitsStream(holding, bytes)) return MemoryDecision.Pause
-        if (!take(bytes, boundFor(holding))) return decisionWhenFull(holding, bytes)
-        if (holding.add(bytes, nowMillis())) return MemoryDecision.Granted
-        giveBack(bytes)
+        val usage = streams[stream] ?: return MemoryDecision.End(stream)
+        if (!fitsStreamLimit(usage, bytes)) return MemoryDecision.Pause
+        if (!tryReserveUsed(bytes, limitFor(usage))) return decisionAtLimit(usage, bytes)
+        if (usage.add(bytes, nowMillis())) return MemoryDecision.Granted
+        releaseUsed(bytes)
         return MemoryDecision.End(stream)
     }
 
-    /** Counts [bytes] as used unless that would pass [boundBytes]. */
-    private fun take(
+    /** Adds [bytes] to the total unless it would exceed [limitBytes]. */
+    private fun tryReserveUsed(
         bytes: Long,
-        boundBytes: Long,
+        limitBytes: Long,
     ): Boolean {
         while (true) {
             val usedBefore = used.get()
-            if (usedBefore + bytes > boundBytes) return false
+            if (usedBefore + bytes > limitBytes) return false
             if (used.compareAndSet(usedBefore, usedBefore + bytes)) return true
         }
     }
@@ -197,13 +197,13 @@
         stream: StreamId,
         bytes: Long,
     ) {
-        val taken = streams[stream]?.take(bytes) ?: return
-        giveBack(taken)
+        val removed = streams[stream]?.remove(bytes) ?: return
+        releaseUsed(removed)
     }
 
     override fun close(stream: StreamId) {
-        val holding = streams.remove(stream) ?: return
-        giveBack(holding.close())
+        val usage = streams.remove(stream) ?: return
+        releaseUsed(usage.close())
     }
 
     override suspend fun awaitCapacity(
@@ -211,32 +211,32 @@
         bytes: Long,
     ) {
         releases.first {
-            val holding = streams[stream] ?: return@first true
-            fitsStream(holding, bytes) && used.get() + bytes <= boundFor(holding)
+            val usage = streams[stream] ?: return@first true
+            fitsStreamLimit(usage, bytes) && used.get() + bytes <= limitFor(usage)
         }
     }
 
-    private fun giveBack(bytes: Long) {
+    private fun releaseUsed(bytes: Long) {
         used.addAndGet(-bytes)
         releases.update { it + 1 }
     }
 
-    /** Takes a first part of any size, so that one above the bound does not stop a stream for ever. */
-    private fun fitsStream(
-        holding: StreamHolding,
+    /** Accepts a first part of any size, because one above the limit would otherwise block its stream forever. */
+    private fun fitsStreamLimit(
+        usage: StreamUsage,
         bytes: Long,
-    ): Boolean = holding.heldBytes == 0L || holding.heldBytes + bytes <= settings.streamBytes
+    ): Boolean = usage.heldBytes == 0L || usage.heldBytes + bytes <= settings.streamBytes
 
-    private fun boundFor(holding: StreamHolding): Long = if (isSlow(holding)) settings.softBytes else settings.hardBytes
+    private fun limitFor(usage: StreamUsage): Long = if (isSlow(usage)) settings.softBytes else settings.hardBytes
 
-    private fun isSlow(holding: StreamHolding): Boolean = holding.waitedMillis(nowMillis()) > settings.slowAfterMillis
+    private fun isSlow(usage: StreamUsage): Boolean = usage.oldestAgeMillis(nowMillis()) > settings.slowAfterMillis
 
-    private fun decisionWhenFull(
-        asking: StreamHolding,
+    private fun decisionAtLimit(
+        caller: StreamUsage,
         bytes: Long,
     ): MemoryDecision {
         if (used.get() + bytes <= settings.hardBytes) return MemoryDecision.Pause
-        val slowest = streams.values.filter(::isSlow).maxByOrNull { it.heldBytes } ?: return MemoryDecision.Pause
-        return if (isSlow(asking) && slowest !== asking) MemoryDecision.Pause else MemoryDecision.End(slowest.stream)
+        val victim = streams.values.filter(::isSlow).maxByOrNull { it.heldBytes } ?: return MemoryDecision.Pause
+        return if (isSlow(caller) && victim !== caller) MemoryDecision.Pause else MemoryDecision.End(victim.stream)
     }
 }
--- a/limits/src/main/kotlin/io/carawaytrack/limits/Quarantine.kt
+++ b/limits/src/main/kotlin/io/carawaytrack/limits/Quarantine.kt
@@ -1,7 +1,8 @@
 /*
- * Requests that crash the upstreams that run them. Those in flight when an upstream dies become suspects; one that has
- * been there often enough is refused for good. A suspect that completes is cleared, so that a request that only stood
- * beside the cause is not harmed. Agents share what they have seen as lists of fingerprints and counts.
+ * Quarantine of requests that crash the upstreams that run them. The requests in flight when an upstream dies become
+ * suspects, and a request that was in flight at enough deaths is refused from then on. A suspect that completes is
+ * cleared, so that requests that merely ran at the same time as the cause are not affected. Agents exchange their
+ * records as lists of fingerprints and counts.
  */
 package io.carawaytrack.limits
 
@@ -13,12 +14,12 @@
 import io.carawaytrack.model.notRun
 
 /**
- * Sets up a quarantine.
+ * Configures a quarantine.
  *
- * @property deathsToQuarantine deaths, over all agents, after which a request is refused
- * @property expiryMillis time after its last death at which a suspect is forgotten
- * @property maxSuspects suspects kept for each agent; the oldest gives way
- * @property maxOrigins agents whose reports are kept
+ * @property deathsToQuarantine deaths, summed over all agents, from which a request is refused
+ * @property expiryMillis time after the last death at which a suspect expires
+ * @property maxSuspects maximum suspects stored for each agent; the oldest is evicted
+ * @property maxOrigins maximum number of other agents whose reports are stored
  */
 public data class QuarantineSettings(
     val deathsToQuarantine: Int = 3,
@@ -27,30 +28,30 @@
     val maxOrigins: Int = 2_048,
 )
 
-/** Recognises requests that crash upstreams. */
+/** Detects requests that crash upstreams. */
 public interface Quarantine {
-    /** Returns why the request with [fingerprint] may not run, or null when it may. */
+    /** Returns the reason why the request with [fingerprint] is refused, or null when it may run. */
     public fun refusalOf(fingerprint: Long): Failure?
 
-    /** Returns whether the request was in flight at a death; such a request is best run with no other beside it. */
+    /** Returns whether the request was in flight at a death; such a request should run without any other beside it. */
     public fun isSuspect(fingerprint: Long): Boolean
 
-    /** Notes that the request goes to the upstream. */
+    /** Records that the request is sent to the upstream. */
     public fun started(fingerprint: Long)
 
-    /** Notes that it is no longer there; [completed] clears it of what this agent holds against it. */
+    /** Records that the request ended; when it [completed], this agent's record of it is cleared. */
     public fun finished(
         fingerprint: Long,
         completed: Boolean,
     )
 
-    /** Counts a death against every request in flight and takes them as finished. */
+    /** Counts a death for every request in flight and marks them all as finished. */
     public fun upstreamDied()
 
-    /** Returns what this agent has seen, for the others. */
+    /** Returns the records of this agent, for the other agents. */
     public fun report(): SuspectReport
 
-    /** Takes in what another agent has seen; the same report again, or an older one, changes nothing. */
+    /** Merges the report of another agent; a report that is no newer than the last one of that agent is ignored. */
     public fun merge(report: SuspectReport)
 }
 
@@ -61,9 +62,9 @@
     nowMillis: () -> Long,
 ): Quarantine = CountingQuarantine(origin, settings, nowMillis)
 
-private data class Suspicion(
+private data class DeathRecord(
     val deaths: Int,
-    val lastMillis: Long,
+    val lastDeathMillis: Long,
 )
 
 private class CountingQuarantine(
@@ -71,20 +72,20 @@
     private val settings: QuarantineSettings,
     private val nowMillis: () -> Long,
 ) : Quarantine {
-    private class Others(
+    private class PeerReport(
         val sequence: Long,
-        val suspicions: Map<Long, Suspicion>,
+        val records: Map<Long, DeathRecord>,
     )
 
     private val lock = Any()
     private val inFlight = HashMap<Long, Int>()
-    private val own = LinkedHashMap<Long, Suspicion>()
-    private val others = LinkedHashMap<NodeId, Others>()
+    private val ownRecords = LinkedHashMap<Long, DeathRecord>()
+    private val peerReports = LinkedHashMap<NodeId, PeerReport>()
 
-    // Finds by fingerprint which of the others hold something against it, as every request asks.
-    private val accusers = HashMap<Long, MutableSet<NodeId>>()
+    // Index from fingerprint to the agents that reported it, because it is looked up for every request.
+    private val reporters = HashMap<Long, MutableSet<NodeId>>()
 
-    // Starts from the clock, so that reports made after a restart of the agent are newer than those before it.
+    // Starts from the clock, so that reports made after a restart of the agent are newer than those made before it.
     private var sequence = nowMillis()
 
     override fun refusalOf(fingerprint: Long): Failure? {
@@ -102,9 +103,9 @@
         fingerprint: Long,
         completed: Boolean,
     ): Unit = synchronized(lock) {
-        val left = (inFlight[fingerprint] ?: 0) - 1
-        if (left > 0) inFlight[fingerprint] = left else inFlight.remove(fingerprint)
-        if (completed && own.remove(fingerprint) != null) sequence += 1
+        val remaining = (inFlight[fingerprint] ?: 0) - 1
+        if (remaining > 0) inFlight[fingerprint] = remaining else inFlight.remove(fingerprint)
+        if (completed && ownRecords.remove(fingerprint) != null) sequence += 1
     }
 
     override fun upstreamDied(): Unit = synchronized(lock) {
@@ -114,48 +115,48 @@
     }
 
     override fun report(): SuspectReport = synchronized(lock) {
-        val fresh = own.filterValues(::isFresh)
-        SuspectReport(origin, sequence, fresh.map { (fingerprint, it) -> SuspectCount(fingerprint, it.deaths) })
+        val current = ownRecords.filterValues(::isCurrent)
+        SuspectReport(origin, sequence, current.map { (fingerprint, it) -> SuspectCount(fingerprint, it.deaths) })
     }
 
     override fun merge(report: SuspectReport): Unit = synchronized(lock) {
         if (report.origin == origin) return
-        val known = others[report.origin]
-        if (known != null && report.sequence <= known.sequence) return
-        forget(report.origin)
-        val suspicions = suspicionsOf(report, known)
-        others[report.origin] = Others(report.sequence, suspicions)
-        suspicions.keys.forEach { accusers.getOrPut(it) { mutableSetOf() } += report.origin }
-        if (others.size > settings.maxOrigins) forget(others.keys.first())
+        val previous = peerReports[report.origin]
+        if (previous != null && report.sequence <= previous.sequence) return
+        removeReport(report.origin)
+        val records = recordsOf(report, previous)
+        peerReports[report.origin] = PeerReport(report.sequence, records)
+        records.keys.forEach { reporters.getOrPut(it) { mutableSetOf() } += report.origin }
+        if (peerReports.size > settings.maxOrigins) removeReport(peerReports.keys.first())
     }
 
-    private fun forget(agent: NodeId) {
-        val forgotten = others.remove(agent) ?: return
-        forgotten.suspicions.keys.forEach { fingerprint ->
-            accusers.computeIfPresent(fingerprint) { _, agents -> (agents - agent).toMutableSet().ifEmpty { null } }
+    private fun removeReport(agent: NodeId) {
+        val removed = peerReports.remove(agent) ?: return
+        removed.records.keys.forEach { fingerprint ->
+            reporters.computeIfPresent(fingerprint) { _, agents -> (agents - agent).toMutableSet().ifEmpty { null } }
         }
     }
 
-    /** Keeps the moment of a death that was known before, so that repeating it does not keep it alive. */
-    private fun suspicionsOf(
+    /** Keeps the time of a death that was reported before, so that repeated reports do not prolong it. */
+    private fun recordsOf(
         report: SuspectReport,
-        known: Others?,
-    ): Map<Long, Suspicion> = report.counts.take(settings.maxSuspects).associate {
-        val before = known?.suspicions?.get(it.fingerprint)
-        val suspicion = if (before?.deaths == it.deaths) before else Suspicion(it.deaths, nowMillis())
-        it.fingerprint to suspicion
+        previous: PeerReport?,
+    ): Map<Long, DeathRecord> = report.counts.take(settings.maxSuspects).associate {
+        val earlier = previous?.records?.get(it.fingerprint)
+        val record = if (earlier?.deaths == it.deaths) earlier else DeathRecord(it.deaths, nowMillis())
+        it.fingerprint to record
     }
 
     private fun countDeath(fingerprint: Long) {
-        val before = own.remove(fingerprint)?.takeIf(::isFresh)
-        own[fingerprint] = Suspicion((before?.deaths ?: 0) + 1, nowMillis())
-        if (own.size > settings.maxSuspects) own.remove(own.keys.first())
+        val earlier = ownRecords.remove(fingerprint)?.takeIf(::isCurrent)
+        ownRecords[fingerprint] = DeathRecord((earlier?.deaths ?: 0) + 1, nowMillis())
+        if (ownRecords.size > settings.maxSuspects) ownRecords.remove(ownRecords.keys.first())
     }
 
     private fun deathsOf(fingerprint: Long): Int {
-        val elsewhere = accusers[fingerprint].orEmpty().mapNotNull { others[it]?.suspicions?.get(fingerprint) }
-        return (elsewhere + listOfNotNull(own[fingerprint])).filter(::isFresh).sumOf { it.deaths }
+        val reported = reporters[fingerprint].orEmpty().mapNotNull { peerReports[it]?.records?.get(fingerprint) }
+        return (reported + listOfNotNull(ownRecords[fingerprint])).filter(::isCurrent).sumOf { it.deaths }
     }
 
-    private fun isFresh(suspicion: Suspicion): Boolean = nowMillis() - suspicion.lastMillis < settings.expiryMillis
+    private fun isCurrent(record: DeathRecord): Boolean = nowMillis() - record.lastDeathMillis < settings.expiryMillis
 }
--- a/limits/src/main/kotlin/io/carawaytrack/limits/RetryBudget.kt
+++ b/limits/src/main/kotlin/io/carawaytrack/limits/RetryBudget.kt
@@ -1,6 +1,6 @@
 /*
- * Retries as a bounded share of the requests of the last seconds, so that a fleet in trouble is not given more work by
- * those who retry. Counters are sharded over threads and over slices of time.
+ * Retry budget: limits retries to a share of the recent requests, so that retries do not add to the load of an
+ * overloaded fleet. Counters are divided over threads and over slices of time.
  */
 package io.carawaytrack.limits
 
@@ -8,11 +8,11 @@
 import java.util.concurrent.atomic.LongAdder
 
 /**
- * Sets up a retry budget.
+ * Configures a retry budget.
  *
- * @property retryRatio retries allowed for each request of the window
- * @property minRetries retries allowed in a window however few requests there were
- * @property windowMillis length of the window
+ * @property retryRatio retries allowed for each request in the window
+ * @property minRetries retries allowed in a window regardless of the number of requests
+ * @property windowMillis length of the sliding window
  */
 public data class RetrySettings(
     val retryRatio: Double = 0.1,
@@ -20,16 +20,16 @@
     val windowMillis: Long = 10_000,
 )
 
-/** Decides whether a request may be tried again. */
+/** Decides whether a request may be retried. */
 public interface RetryBudget {
-    /** Counts a request, when it is first tried. */
+    /** Counts a request; called at its first attempt only. */
     public fun recordRequest()
 
-    /** Takes one retry from the budget; returns false when there is none. */
+    /** Takes one retry from the budget; returns false when it is exhausted. */
     public fun tryAcquire(): Boolean
 }
 
-/** Creates a retry budget with no request counted. Threads that ask at once may pass the bound by one retry each. */
+/** Creates an empty retry budget. Threads that take a retry concurrently may exceed the limit by one each. */
 public fun RetryBudget(
     settings: RetrySettings,
     nowMillis: () -> Long,
@@ -46,17 +46,17 @@
     private val settings: RetrySettings,
     private val nowMillis: () -> Long,
 ) : RetryBudget {
-    private val sliceMillis = maxOf(1, settings.windowMillis / SLICES)
-    private val slices = AtomicReferenceArray<Slice>(SLICES)
+    private val sliceMillis = maxOf(1, settings.windowMillis / SLICE_COUNT)
+    private val slices = AtomicReferenceArray<Slice>(SLICE_COUNT)
 
     override fun recordRequest(): Unit = currentSlice().requests.increment()
 
     override fun tryAcquire(): Boolean {
         val current = currentSlice()
         val recent =
-            (0 until SLICES)
+            (0 until SLICE_COUNT)
                 .mapNotNull { slices[it] }
-                .filter { it.number > current.number - SLICES }
+                .filter { it.number > current.number - SLICE_COUNT }
         val allowed = maxOf(settings.minRetries.toDouble(), recent.sumOf { it.requests.sum() } * settings.retryRatio)
         if (recent.sumOf { it.retries.sum() } + 1 > allowed) return false
         current.retries.increment()
@@ -65,11 +65,11 @@
 
     private fun currentSlice(): Slice {
         val number = nowMillis() / sliceMillis
-        val index = Math.floorMod(number, SLICES)
+        val index = Math.floorMod(number, SLICE_COUNT)
         return slices.updateAndGet(index) { if (it == null || it.number < number) Slice(number) else it }
     }
 
     private companion object {
-        const val SLICES = 10
+        const val SLICE_COUNT = 10
     }
 }
--- a/limits/src/main/kotlin/io/carawaytrack/limits/SlowStart.kt
+++ b/limits/src/main/kotlin/io/carawaytrack/limits/SlowStart.kt
@@ -1,57 +1,60 @@
 /*
- * Slow start of one upstream. How many requests it may run at once grows from a small start only with evidence that it
- * is warm, and never faster than a ramp in time; a relapse takes it back to the start.
+ * Slow start of one upstream. The number of concurrent requests grows from a low initial value only on evidence that
+ * the upstream is warm, and never faster than a linear ramp in time. When the upstream appears to be cold again, the
+ * slow start is reset.
  */
 package io.carawaytrack.limits
 
 import kotlin.math.ceil
 
 /**
- * Sets up a slow start.
+ * Configures a slow start.
  *
- * @property initialPermits permits after a start, what the upstream bears when it is coldest
- * @property maxPermits permits once it is warm
+ * @property initialPermits permits after a start, the load that the upstream sustains when it is completely cold
+ * @property maxPermits permits when the upstream is warm
  * @property rampMillis shortest time from a start to [maxPermits]
- * @property growth factor on the permits after a round of good requests
- * @property healthyLatencyFactor a round is good while its time per token is within this factor of the learned one
- * @property improvingRatio an upstream whose time per token still falls below this part of the last round's is warming
- * @property degradedLatencyFactor a request beyond this factor of the learned time per token is a sign of a relapse
- * @property relapseSigns failures that make a relapse, unless a request that began after the first one completes; signs
- * in a row that halve the permits; signs in a row, by requests that began after that, that make a relapse too
+ * @property growthFactor factor applied to the permits after a healthy round of requests
+ * @property healthyLatencyFactor a round is healthy while its time per token is within this factor of the baseline
+ * @property warmingLatencyRatio before there is a baseline, an upstream is still warming up while the time per token
+ * falls below this ratio of that of the last round
+ * @property degradedLatencyFactor a request is degraded when its time per token exceeds the baseline by this factor
+ * @property degradationThreshold number of failures that reset the slow start, unless a request that began after the
+ * first of them completes; number of consecutive degraded requests that halve the permits; and number of further
+ * consecutive degraded requests, begun after that, that reset the slow start
  */
 public data class SlowStartSettings(
     val initialPermits: Int = 1,
     val maxPermits: Int = 16,
     val rampMillis: Long = 10_000,
-    val growth: Double = 1.5,
+    val growthFactor: Double = 1.5,
     val healthyLatencyFactor: Double = 1.5,
-    val improvingRatio: Double = 0.8,
+    val warmingLatencyRatio: Double = 0.8,
     val degradedLatencyFactor: Double = 3.0,
-    val relapseSigns: Int = 3,
+    val degradationThreshold: Int = 3,
 )
 
-/** Tells how many requests an upstream may run at once. */
+/** Determines how many requests an upstream may run concurrently. */
 public interface SlowStart {
-    /** Permits now. */
+    /** Current permits. */
     public val permits: Int
 
-    /** Whether the permits are at their maximum. */
+    /** Whether the permits have reached their maximum. */
     public val isWarm: Boolean
 
-    /** Takes in that a request of [tokens] prompt and answer tokens took [latencyMillis]. */
+    /** Records that a request of [tokens] prompt and answer tokens took [latencyMillis]. */
     public fun completed(
         latencyMillis: Long,
         tokens: Long,
     )
 
-    /** Takes in that the upstream failed a request. */
+    /** Records that the upstream failed a request. */
     public fun failed()
 
-    /** Takes in that the upstream has started again, as a changed boot id or a lost health check shows. */
+    /** Resets the slow start because the upstream has restarted, as a new boot id or a failed health check shows. */
     public fun restarted()
 }
 
-/** Creates a slow start at its first permits. */
+/** Creates a slow start with the initial permits. */
 public fun SlowStart(
     settings: SlowStartSettings,
     nowMillis: () -> Long,
@@ -63,12 +66,12 @@
 ) : SlowStart {
     private val lock = Any()
     private var startedAtMillis = nowMillis()
-    private var proven = settings.initialPermits
-    private var signs = 0
+    private var provenPermits = settings.initialPermits
+    private var degradedInRow = 0
     private var failures = 0
     private var firstFailureMillis = 0L
-    private var suspectedAtMillis: Long? = null
-    private var learnedMillis: Double? = null
+    private var suspectedSinceMillis: Long? = null
+    private var baselineMillis: Double? = null
     private var lastRoundMillis: Double? = null
     private var roundMillis = 0.0
     private var roundSize = 0
@@ -82,53 +85,53 @@
         tokens: Long,
     ): Unit = synchronized(lock) {
         val tokenMillis = millisPerToken(latencyMillis, tokens)
-        val learned = learnedMillis
-        val beganAtMillis = nowMillis() - latencyMillis
-        if (beganAtMillis >= firstFailureMillis) failures = 0
-        if (learned != null && tokenMillis > learned * settings.degradedLatencyFactor) return sign(beganAtMillis)
-        signs = 0
-        if (beganAtMillis >= (suspectedAtMillis ?: Long.MAX_VALUE)) suspectedAtMillis = null
+        val baseline = baselineMillis
+        val beganMillis = nowMillis() - latencyMillis
+        if (beganMillis >= firstFailureMillis) failures = 0
+        if (baseline != null && tokenMillis > baseline * settings.degradedLatencyFactor) return onDegraded(beganMillis)
+        degradedInRow = 0
+        if (beganMillis >= (suspectedSinceMillis ?: Long.MAX_VALUE)) suspectedSinceMillis = null
         roundMillis += tokenMillis
         roundSize += 1
-        if (roundSize >= maxOf(SMALLEST_ROUND, currentPermits())) endRound()
+        if (roundSize >= maxOf(MIN_ROUND_SIZE, currentPermits())) endRound()
     }
 
     override fun failed(): Unit = synchronized(lock) {
         if (failures == 0) firstFailureMillis = nowMillis()
         failures += 1
-        if (failures >= settings.relapseSigns) fallBack()
+        if (failures >= settings.degradationThreshold) reset()
     }
 
-    override fun restarted(): Unit = synchronized(lock) { fallBack() }
+    override fun restarted(): Unit = synchronized(lock) { reset() }
 
-    /** Takes the lower of what the evidence and the ramp allow. */
+    /** Returns the lower of the permits proven by evidence and those allowed by the ramp. */
     private fun currentPermits(): Int {
-        val risenShare = ((nowMillis() - startedAtMillis).toDouble() / maxOf(1, settings.rampMillis)).coerceIn(0.0, 1.0)
-        val ramp = settings.initialPermits + ((settings.maxPermits - settings.initialPermits) * risenShare).toInt()
-        return minOf(proven, ramp)
+        val rampRatio = ((nowMillis() - startedAtMillis).toDouble() / maxOf(1, settings.rampMillis)).coerceIn(0.0, 1.0)
+        val rampLimit = settings.initialPermits + ((settings.maxPermits - settings.initialPermits) * rampRatio).toInt()
+        return minOf(provenPermits, rampLimit)
     }
 
     /**
-     * Takes in a slow request. One pause of the upstream or the host slows all that run at that moment, so they can
-     * only make it a suspect; it has relapsed if requests that began later are slow as well.
+     * Records a degraded request. A single pause of the upstream or its host slows all requests that run at the time,
+     * so these only make the upstream suspect; it counts as cold again when requests that began later are degraded too.
      */
-    private fun sign(beganAtMillis: Long) {
-        if (beganAtMillis < (suspectedAtMillis ?: Long.MIN_VALUE)) return
-        signs += 1
-        if (signs < settings.relapseSigns) return
-        if (suspectedAtMillis != null) return fallBack()
-        signs = 0
-        suspectedAtMillis = nowMillis()
-        proven = maxOf(settings.initialPermits, currentPermits() / 2)
+    private fun onDegraded(beganMillis: Long) {
+        if (beganMillis < (suspectedSinceMillis ?: Long.MIN_VALUE)) return
+        degradedInRow += 1
+        if (degradedInRow < settings.degradationThreshold) return
+        if (suspectedSinceMillis != null) return reset()
+        degradedInRow = 0
+        suspectedSinceMillis = nowMillis()
+        provenPermits = maxOf(settings.initialPermits, currentPermits() / 2)
         clearRound()
     }
 
-    private fun fallBack() {
+    private fun reset() {
         startedAtMillis = nowMillis()
-        proven = settings.initialPermits
-        signs = 0
+        provenPermits = settings.initialPermits
+        degradedInRow = 0
         failures = 0
-        suspectedAtMillis = null
+        suspectedSinceMillis = null
         lastRoundMillis = null
         clearRound()
     }
@@ -136,33 +139,36 @@
     private fun endRound() {
         val mean = roundMillis / roundSize
         clearRound()
-        val isGood = isGood(mean)
+        val isHealthy = isHealthy(mean)
         lastRoundMillis = mean
-        if (!isGood) return
-        learn(mean)
-        // What the ramp holds back is not proven: only permits that were in use can have shown that they are borne.
+        if (!isHealthy) return
+        updateBaseline(mean)
+        // Permits above the ramp were not in use, so the round is no evidence that the upstream sustains them.
         val inUse = currentPermits()
-        proven = maxOf(proven, minOf(settings.maxPermits, ceil(inUse * settings.growth).toInt()))
+        provenPermits = maxOf(provenPermits, minOf(settings.maxPermits, ceil(inUse * settings.growthFactor).toInt()))
     }
 
-    /** Compares with what is learned; before anything is, with the round before, which must not be much slower. */
-    private fun isGood(mean: Double): Boolean {
-        val learned = learnedMillis
+    /**
+     * Compares the mean with the baseline or, before there is one, with the previous round: the time per token must not
+     * fall much, which means that the upstream is still warming up, and must not be much higher.
+     */
+    private fun isHealthy(mean: Double): Boolean {
+        val baseline = baselineMillis
         val last = lastRoundMillis
         return when {
-            learned != null -> mean <= learned * settings.healthyLatencyFactor
+            baseline != null -> mean <= baseline * settings.healthyLatencyFactor
             last == null -> false
-            else -> mean >= last * settings.improvingRatio && mean <= last * settings.healthyLatencyFactor
+            else -> mean >= last * settings.warmingLatencyRatio && mean <= last * settings.healthyLatencyFactor
         }
     }
 
-    private fun learn(mean: Double) {
-        val learned = learnedMillis
-        learnedMillis =
+    private fun updateBaseline(mean: Double) {
+        val baseline = baselineMillis
+        baselineMillis =
             when {
-                learned == null -> mean
-                mean < learned -> mean + (learned - mean) * KEPT_WHEN_FASTER
-                else -> learned + (mean - learned) * TAKEN_WHEN_SLOWER
+                baseline == null -> mean
+                mean < baseline -> mean + (baseline - mean) * FASTER_RETAINED_RATIO
+                else -> baseline + (mean - baseline) * SLOWER_SMOOTHING_RATIO
             }
     }
 
@@ -172,13 +178,13 @@
     }
 
     private companion object {
-        const val SMALLEST_ROUND = 2
-        const val KEPT_WHEN_FASTER = 0.5
-        const val TAKEN_WHEN_SLOWER = 0.05
+        const val MIN_ROUND_SIZE = 2
+        const val FASTER_RETAINED_RATIO = 0.5
+        const val SLOWER_SMOOTHING_RATIO = 0.05
     }
 }
 
-/** Returns the time that a token took, in milliseconds. */
+/** Returns the mean time per token, in milliseconds. */
 internal fun millisPerToken(
     latencyMillis: Long,
     tokens: Long,
