--- a/limits/src/test/kotlin/io/carawaytrack/limits/AdmissionQueueTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/AdmissionQueueTest.kt
@@ -1,6 +1,6 @@
 /*
- * The admission queue: who runs next, who is refused and with which error kind, and what cancellation and draining
- * leave behind.
+ * Tests the order of admission, the refusals with their error kinds, and the state of the queue after cancellation and
+ * draining.
  */
 package io.carawaytrack.limits
 
@@ -34,7 +34,7 @@
 
 @OptIn(ExperimentalCoroutinesApi::class)
 class AdmissionQueueTest {
-    private class Bench(
+    private class Fixture(
         val scope: TestScope,
         settings: AdmissionSettings = AdmissionSettings(),
     ) {
@@ -44,25 +44,25 @@
         val order = mutableListOf<String>()
         val refused = mutableMapOf<String, Failure>()
 
-        fun enter(
+        fun submit(
             name: String,
             request: AdmissionRequest,
         ) = scope
-            .launch { note(name, queue.acquire(request)) }
+            .launch { record(name, queue.acquire(request)) }
             .also { scope.runCurrent() }
 
-        fun enter(name: String) = enter(name, request(name.substringBefore(' ')))
+        fun submit(name: String) = submit(name, request(name.substringBefore(' ')))
 
-        fun endOldest() {
+        fun closeOldest() {
             tickets.removeFirst().close()
             scope.runCurrent()
         }
 
-        fun endAll() {
-            while (tickets.isNotEmpty()) endOldest()
+        fun closeAll() {
+            while (tickets.isNotEmpty()) closeOldest()
         }
 
-        private fun note(
+        private fun record(
             name: String,
             answer: Result<Ticket, Failure>,
         ) {
@@ -74,10 +74,10 @@
         }
     }
 
-    private fun bench(
+    private fun withFixture(
         settings: AdmissionSettings = AdmissionSettings(),
-        steps: Bench.() -> Unit,
-    ) = runTest { Bench(this, settings).steps() }
+        steps: Fixture.() -> Unit,
+    ) = runTest { Fixture(this, settings).steps() }
 
     private data class OrderCase(
         val name: String,
@@ -88,17 +88,17 @@
     private val orderCases =
         listOf(
             OrderCase(
-                "one organisation runs in order of arrival",
+                "requests of one organisation run in order of arrival",
                 listOf("a1" to request("a"), "a2" to request("a"), "a3" to request("a")),
                 listOf("a1", "a2", "a3"),
             ),
             OrderCase(
-                "two organisations take turns",
+                "two organisations alternate",
                 listOf("a1" to request("a"), "a2" to request("a"), "a3" to request("a"), "b1" to request("b")),
                 listOf("a1", "b1", "a2", "a3"),
             ),
             OrderCase(
-                "a larger share gets more turns",
+                "an organisation with a larger share runs more requests",
                 listOf(
                     "a1" to request("a"),
                     "a2" to request("a"),
@@ -110,7 +110,7 @@
                 listOf("a1", "b1", "b2", "b3", "a2", "a3"),
             ),
             OrderCase(
-                "a costly request makes its organisation wait longer",
+                "an expensive request delays the later ones of its organisation",
                 listOf(
                     "a1" to request("a", cost = 10),
                     "a2" to request("a"),
@@ -120,7 +120,7 @@
                 listOf("a1", "b1", "b2", "a2"),
             ),
             OrderCase(
-                "priority comes before share",
+                "priority takes precedence over share",
                 listOf(
                     "b1" to request("b", priority = Priority.Batch),
                     "a1" to request("a"),
@@ -133,10 +133,10 @@
     @TestFactory
     fun `waiting requests run by priority and fair share`(): List<DynamicTest> = orderCases.map { case ->
         dynamicTest(case.name) {
-            bench {
-                enter("holder", request("z", cost = 0))
-                case.requests.forEach { (name, request) -> enter(name, request) }
-                endAll()
+            withFixture {
+                submit("holder", request("z", cost = 0))
+                case.requests.forEach { (name, request) -> submit(name, request) }
+                closeAll()
                 expectThat(order.drop(1)).isEqualTo(case.order)
             }
         }
@@ -146,98 +146,98 @@
         val name: String,
         val settings: AdmissionSettings,
         val kinds: Map<String, ErrorKind>,
-        val steps: Bench.() -> Unit,
+        val steps: Fixture.() -> Unit,
     )
 
     private val refusalCases =
         listOf(
             RefusalCase(
-                "a full queue refuses its only organisation for want of room",
+                "a full queue refuses its only organisation with PoolExhausted",
                 AdmissionSettings(maxWaiting = 1),
                 mapOf("a 3" to ErrorKind.PoolExhausted),
-            ) { listOf("a 1", "a 2", "a 3").forEach(::enter) },
+            ) { listOf("a 1", "a 2", "a 3").forEach(::submit) },
             RefusalCase(
-                "an organisation that fills the queue gives way to a small one",
+                "a request of the organisation that fills the queue is evicted for a small one",
                 AdmissionSettings(maxWaiting = 2),
                 mapOf("a 3" to ErrorKind.OrganisationLimit),
-            ) { listOf("a 1", "a 2", "a 3", "b 1").forEach(::enter) },
+            ) { listOf("a 1", "a 2", "a 3", "b 1").forEach(::submit) },
             RefusalCase(
-                "an organisation over its share is told so",
+                "an organisation over its share is refused with OrganisationLimit",
                 AdmissionSettings(maxWaiting = 2),
                 mapOf("a 3" to ErrorKind.OrganisationLimit),
-            ) { listOf("a 1", "a 2", "b 1", "a 3").forEach(::enter) },
+            ) { listOf("a 1", "a 2", "b 1", "a 3").forEach(::submit) },
             RefusalCase(
-                "a batch gives way to a request of higher priority",
+                "a batch request is evicted for a request of higher priority",
                 AdmissionSettings(maxWaiting = 1),
                 mapOf("batch" to ErrorKind.OrganisationLimit),
             ) {
-                enter("a 1")
-                enter("batch", request("b", priority = Priority.Batch))
-                enter("a 2")
+                submit("a 1")
+                submit("batch", request("b", priority = Priority.Batch))
+                submit("a 2")
             },
             RefusalCase(
-                "what would miss its deadline is refused at once",
-                AdmissionSettings(expectedHoldMillis = 1_000),
+                "a request that would miss its deadline is refused immediately",
+                AdmissionSettings(initialServiceTimeMillis = 1_000),
                 mapOf("late" to ErrorKind.PoolExhausted),
             ) {
-                enter("a 1")
-                enter("late", request("b", deadlineMillis = 500))
-                enter("in time", request("b", deadlineMillis = 1_500))
+                submit("a 1")
+                submit("late", request("b", deadlineMillis = 500))
+                submit("in time", request("b", deadlineMillis = 1_500))
             },
             RefusalCase(
-                "what has waited until its deadline is refused then",
+                "a request that waits until its deadline is refused at the deadline",
                 AdmissionSettings(),
                 mapOf("late" to ErrorKind.PoolExhausted),
             ) {
-                enter("a 1")
-                enter("late", request("b", deadlineMillis = 500))
+                submit("a 1")
+                submit("late", request("b", deadlineMillis = 500))
                 scope.testScheduler.advanceTimeBy(501)
                 scope.runCurrent()
             },
             RefusalCase(
-                "a closed queue refuses what is new and serves what waits",
+                "a closed queue refuses new requests and runs the waiting ones",
                 AdmissionSettings(),
                 mapOf("b 1" to ErrorKind.ShuttingDown),
             ) {
-                enter("a 1")
-                enter("a 2")
+                submit("a 1")
+                submit("a 2")
                 queue.stopAccepting()
-                enter("b 1")
-                endOldest()
+                submit("b 1")
+                closeOldest()
                 expectThat(order).containsExactly("a 1", "a 2")
             },
         )
 
     @TestFactory
-    fun `refusals say that nothing ran`(): List<DynamicTest> = refusalCases.map { case ->
+    fun `refusals report NotRun`(): List<DynamicTest> = refusalCases.map { case ->
         dynamicTest(case.name) {
-            bench(case.settings) {
+            withFixture(case.settings) {
                 case.steps(this)
                 expectThat(refused.mapValues { it.value.kind }).isEqualTo(case.kinds)
                 refused.values.forEach { expectThat(it.execution).isEqualTo(Execution.NotRun) }
-                endAll()
+                closeAll()
                 expectThat(queue.running to queue.waiting).isEqualTo(0 to 0)
             }
         }
     }
 
     @Test
-    fun `a waiting request that is cancelled leaves its place and its share`() = bench {
-        enter("a 1")
-        val cancelled = enter("a 2")
-        enter("a 3")
-        enter("b 1")
+    fun `a cancelled waiting request releases its place and its share`() = withFixture {
+        submit("a 1")
+        val cancelled = submit("a 2")
+        submit("a 3")
+        submit("b 1")
         cancelled.cancel()
         scope.runCurrent()
-        endAll()
+        closeAll()
         expectThat(order).containsExactly("a 1", "b 1", "a 3")
     }
 
     @Test
-    fun `a request that is cancelled as its turn comes passes the ticket on`() = bench {
-        enter("a 1")
-        val cancelled = enter("a 2")
-        enter("a 3")
+    fun `a request that is cancelled while it is admitted passes its ticket on`() = withFixture {
+        submit("a 1")
+        val cancelled = submit("a 2")
+        submit("a 3")
         tickets.removeFirst().close()
         cancelled.cancel()
         scope.runCurrent()
@@ -246,45 +246,45 @@
     }
 
     @Test
-    fun `more permits let in more and fewer end nothing`() = bench {
-        listOf("a 1", "a 2", "a 3").forEach(::enter)
+    fun `more permits admit more requests and fewer permits end none`() = withFixture {
+        listOf("a 1", "a 2", "a 3").forEach(::submit)
         permits = 3
         queue.permitsChanged()
         scope.runCurrent()
         expectThat(queue.running).isEqualTo(3)
         permits = 1
-        enter("a 4")
-        endOldest()
+        submit("a 4")
+        closeOldest()
         expectThat(order).containsExactly("a 1", "a 2", "a 3")
-        endAll()
+        closeAll()
     }
 
     @Test
-    fun `draining ends when the last ticket is closed, and a ticket counts once`() = bench {
-        listOf("a 1", "a 2").forEach(::enter)
+    fun `draining ends when the last ticket is closed, and closing a ticket twice has no effect`() = withFixture {
+        listOf("a 1", "a 2").forEach(::submit)
         queue.stopAccepting()
         val idle = scope.async { queue.awaitIdle() }
         val first = tickets.first()
-        endOldest()
+        closeOldest()
         first.close()
         expectThat(idle.isCompleted).isFalse()
         expectThat(queue.running).isEqualTo(1)
-        endOldest()
+        closeOldest()
         expectThat(idle.isCompleted).isTrue()
     }
 
     @TestFactory
-    fun `a flood of one organisation does not slow a small one`(): List<DynamicTest> = listOf(1L, 2L, 3L).map { seed ->
+    fun `a flood by one organisation gets no small one refused`(): List<DynamicTest> = listOf(1L, 2L, 3L).map { seed ->
         dynamicTest("seed $seed") {
-            bench(AdmissionSettings(maxWaiting = 50)) {
+            withFixture(AdmissionSettings(maxWaiting = 50)) {
                 permits = 2
                 val random = Random(seed)
                 repeat(2_000) {
-                    enter("flood $it")
-                    if (random.nextInt(10) == 0) enter("small $it")
-                    if (random.nextInt(3) == 0 && tickets.isNotEmpty()) endOldest()
+                    submit("flood $it")
+                    if (random.nextInt(10) == 0) submit("small $it")
+                    if (random.nextInt(3) == 0 && tickets.isNotEmpty()) closeOldest()
                 }
-                endAll()
+                closeAll()
                 val smallRefused = refused.keys.count { it.startsWith("small") }
                 expectThat(smallRefused).isEqualTo(0)
                 expectThat(order.count { it.startsWith("small") }).isIn(150..250)
--- a/limits/src/test/kotlin/io/carawaytrack/limits/ColdStartRunTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/ColdStartRunTest.kt
@@ -1,6 +1,6 @@
 /*
- * Slow start against an upstream in simulated time that is cold at first, and falls back into a cold start in the
- * middle of the run, under callers who take every permit at once.
+ * Simulates slow start on an upstream that is cold at first and becomes cold again in the middle of the run, with
+ * callers that use every permit immediately. It guards against sending a cold upstream more requests than it sustains.
  */
 package io.carawaytrack.limits
 
@@ -14,7 +14,13 @@
 import kotlin.random.Random
 
 class ColdStartRunTest {
-    /** Counts requests begun while as many ran as the upstream bears, and the time until it was used in full. */
+    /**
+     * Describes the result of a run.
+     *
+     * @property overAtStart requests begun above the capacity of the upstream in the first cold start
+     * @property overAfterRelapse requests begun above the capacity of the upstream in the second cold start
+     * @property fullAfterMillis time until all warm capacity was in use; null if it never was
+     */
     private data class Figures(
         val begun: Int,
         val overAtStart: Int,
@@ -22,7 +28,7 @@
         val fullAfterMillis: Long?,
     )
 
-    /** Tells what the agent notices of a relapse besides the latency. */
+    /** Describes what the agent observes of the second cold start besides the latency. */
     private enum class Relapse { RestartSeen, RequestsLost, Quiet }
 
     private class Run(
@@ -41,22 +47,22 @@
         private var nowMillis = 0L
         private var bootMillis = 0L
         private var begun = 0
-        private val over = IntArray(2)
+        private val overCapacity = IntArray(2)
         private var fullAfterMillis: Long? = null
         private val permits = slowStart { nowMillis }
         private val warmth get() = ((nowMillis - bootMillis).toDouble() / COLD_MILLIS).coerceAtMost(1.0)
-        private val bearing get() = COLD_BEARING + ((WARM_BEARING - COLD_BEARING) * warmth).toInt()
+        private val capacity get() = COLD_CAPACITY + ((WARM_CAPACITY - COLD_CAPACITY) * warmth).toInt()
 
         fun figures(): Figures {
             while (nowMillis < END_MILLIS) {
                 if (bootMillis == 0L && nowMillis >= RELAPSE_MILLIS) restart()
                 while (running.size < permits.permits) begin()
-                if (running.size >= WARM_BEARING) fullAfterMillis = fullAfterMillis ?: nowMillis
+                if (running.size >= WARM_CAPACITY) fullAfterMillis = fullAfterMillis ?: nowMillis
                 val next = running.poll()
                 nowMillis = next.endMillis
                 permits.completed(next.latencyMillis, next.tokens)
             }
-            return Figures(begun, over[0], over[1], fullAfterMillis)
+            return Figures(begun, overCapacity[0], overCapacity[1], fullAfterMillis)
         }
 
         private fun restart() {
@@ -68,7 +74,7 @@
         }
 
         private fun begin() {
-            if (running.size >= bearing) over[if (bootMillis == 0L) 0 else 1] += 1
+            if (running.size >= capacity) overCapacity[if (bootMillis == 0L) 0 else 1] += 1
             begun += 1
             val tokens = random.nextLong(30, 71)
             val latencyMillis = (tokens * WARM_TOKEN_MILLIS * (COLD_SLOWDOWN - (COLD_SLOWDOWN - 1) * warmth)).toLong()
@@ -76,8 +82,8 @@
         }
     }
 
-    private class AllAtOnce : SlowStart {
-        override val permits = WARM_BEARING
+    private class Unlimited : SlowStart {
+        override val permits = WARM_CAPACITY
         override val isWarm = true
 
         override fun completed(
@@ -91,7 +97,7 @@
     }
 
     private fun evidence(rampMillis: Long): (() -> Long) -> SlowStart = { nowMillis ->
-        SlowStart(SlowStartSettings(COLD_BEARING, WARM_BEARING, rampMillis), nowMillis)
+        SlowStart(SlowStartSettings(COLD_CAPACITY, WARM_CAPACITY, rampMillis), nowMillis)
     }
 
     private fun figures(
@@ -104,10 +110,10 @@
     }
 
     @TestFactory
-    fun `an upstream in a cold start gets no more than it bears`(): List<DynamicTest> = listOf(1L, 2L, 3L).map { seed ->
+    fun `a cold upstream is not sent more than it sustains`(): List<DynamicTest> = listOf(1L, 2L, 3L).map { seed ->
         dynamicTest("seed $seed") {
             Relapse.entries.forEach { relapse ->
-                val none = figures("none", seed, relapse) { AllAtOnce() }
+                val none = figures("none", seed, relapse) { Unlimited() }
                 val evidenceOnly = figures("evidence", seed, relapse, evidence(rampMillis = 1))
                 figures("ramp-half", seed, relapse, evidence(COLD_MILLIS / 2))
                 val ramp = figures("ramp", seed, relapse, evidence(COLD_MILLIS))
@@ -123,8 +129,8 @@
         const val COLD_MILLIS = 20_000L
         const val RELAPSE_MILLIS = 60_000L
         const val END_MILLIS = 120_000L
-        const val COLD_BEARING = 2
-        const val WARM_BEARING = 16
+        const val COLD_CAPACITY = 2
+        const val WARM_CAPACITY = 16
         const val WARM_TOKEN_MILLIS = 10
         const val COLD_SLOWDOWN = 4.0
     }
--- a/limits/src/test/kotlin/io/carawaytrack/limits/ConcurrencyLimitTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/ConcurrencyLimitTest.kt
@@ -1,6 +1,6 @@
 /*
- * The adaptive limit against fixed ones and against another rule, on an upstream that loses half of its capacity for a
- * while, and the single moves of the limit as a table.
+ * Tests how the limit responds to latency and failures, and compares the adaptive limit with fixed ones and with
+ * another rule on a simulated upstream that temporarily loses half of its capacity.
  */
 package io.carawaytrack.limits
 
@@ -27,23 +27,23 @@
 
     private val moveCases =
         listOf(
-            MoveCase("nothing seen leaves the start", 8..8) {},
-            MoveCase("steady latency under use raises it", 9..32) { window(10, count = 10) },
-            MoveCase("steady latency without use leaves it", 8..8) { window(10, count = 10) { 1 } },
-            MoveCase("latency that has risen lowers it", 1..7) {
+            MoveCase("without observations it keeps its initial value", 8..8) {},
+            MoveCase("steady latency near the limit raises it", 9..32) { window(10, count = 10) },
+            MoveCase("steady latency far below the limit keeps it", 8..8) { window(10, count = 10) { 1 } },
+            MoveCase("increased latency lowers it", 1..7) {
                 window(10)
                 window(60, count = 10)
             },
-            MoveCase("a failure lowers it at once", 1..7) { failed() },
-            MoveCase("it never leaves its bounds below", 1..1) { repeat(50) { failed() } },
-            MoveCase("it never leaves its bounds above", 32..32) { window(10, count = 60) },
+            MoveCase("a failure lowers it immediately", 1..7) { failed() },
+            MoveCase("it does not fall below its minimum", 1..1) { repeat(50) { failed() } },
+            MoveCase("it does not rise above its maximum", 32..32) { window(10, count = 60) },
         )
 
     @TestFactory
-    fun `the limit follows the latency by either rule`(): List<DynamicTest> = rules.flatMap { (ruleName, rule) ->
+    fun `the limit follows the latency under both rules`(): List<DynamicTest> = rules.flatMap { (ruleName, rule) ->
         moveCases.map { case ->
             dynamicTest("$ruleName: ${case.name}") {
-                val settings = ConcurrencySettings(startLimit = 8, maxLimit = 32, windowSize = WINDOW)
+                val settings = ConcurrencySettings(initialLimit = 8, maxLimit = 32, windowSize = WINDOW)
                 val limit = ConcurrencyLimit(settings, rule).apply(case.steps)
                 expectThat(limit.limit).isIn(case.limits)
             }
@@ -67,7 +67,7 @@
         name: String,
         rule: LimitRule,
     ): List<RunFigures> {
-        val limit = ConcurrencyLimit(ConcurrencySettings(startLimit = 4, maxLimit = 64), rule)
+        val limit = ConcurrencyLimit(ConcurrencySettings(initialLimit = 4, maxLimit = 64), rule)
         return SimulatedUpstream(phases, seed, limit::limit, limit::completed).run().also { print(name, seed, it) }
     }
 
@@ -90,7 +90,7 @@
                 adaptive(seed, "gradient", gradient)
                 adaptive(seed, "aimd", aimdRule()).forEachIndexed { phase, figures ->
                     val best = fixed.maxOf { it[phase].completed }
-                    expectThat(figures.completed).isGreaterThanOrEqualTo((best * LEAST_SHARE_OF_BEST).toInt())
+                    expectThat(figures.completed).isGreaterThanOrEqualTo((best * MIN_RATIO_TO_BEST).toInt())
                 }
             }
         }
@@ -98,13 +98,13 @@
     private companion object {
         const val WINDOW = 4
         const val TOKENS = 50L
-        const val LEAST_SHARE_OF_BEST = 0.95
+        const val MIN_RATIO_TO_BEST = 0.95
 
-        /** The way not taken: follows the ratio of idle to present latency, with room for a queue. */
+        /** Rule for comparison: follows the ratio of idle to current latency, with an allowance for a queue. */
         val gradient: LimitRule = { limit, window ->
             val ratio = (1.5 * window.idleTokenMillis / window.tokenMillis).coerceIn(0.5, 1.0)
             val next = limit + (limit * ratio + sqrt(limit) - limit) * 0.3
-            if (next > limit && !window.isUsed) limit else next
+            if (next > limit && !window.isNearLimit) limit else next
         }
         val rules = listOf("aimd" to aimdRule(), "gradient" to gradient)
     }
--- a/limits/src/test/kotlin/io/carawaytrack/limits/FairShareRunTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/FairShareRunTest.kt
@@ -1,6 +1,6 @@
 /*
- * The wait of small organisations while a large one floods the queue, in simulated time, against a queue that knows no
- * organisations and against the same run without the flood.
+ * Simulates the waiting time of small organisations while a large one floods the queue, and compares it with a queue
+ * that does not distinguish organisations and with the same run without the flood.
  */
 package io.carawaytrack.limits
 
@@ -31,26 +31,26 @@
 
     private class Run(
         private val seed: Long,
-        private val knowsOrganisations: Boolean,
-        private val floodsPerSecond: Double,
+        private val perOrganisation: Boolean,
+        private val floodPerSecond: Double,
     ) {
         private val smallMillis = mutableListOf<Long>()
         private var smallRefused = 0
 
         fun figures(): Figures {
-            runTest { callers() }
+            runTest { launchCallers() }
             val sorted = smallMillis.sorted()
             val requests = sorted.size + smallRefused
             return Figures(requests, smallRefused, sorted[sorted.size / 2], sorted[sorted.size * 99 / 100])
         }
 
-        private fun TestScope.callers() {
+        private fun TestScope.launchCallers() {
             val queue = AdmissionQueue(AdmissionSettings(maxWaiting = 64), { currentTime }) { PERMITS }
-            SMALL.forEachIndexed { index, name -> callsOf(queue, name, SMALL_PER_SECOND, Random(seed * 10 + index)) }
-            if (floodsPerSecond > 0) callsOf(queue, "large", floodsPerSecond, Random(seed * 10 + SMALL.size))
+            SMALL.forEachIndexed { index, name -> launchLoad(queue, name, SMALL_PER_SECOND, Random(seed * 10 + index)) }
+            if (floodPerSecond > 0) launchLoad(queue, "large", floodPerSecond, Random(seed * 10 + SMALL.size))
         }
 
-        private fun TestScope.callsOf(
+        private fun TestScope.launchLoad(
             queue: AdmissionQueue,
             name: String,
             perSecond: Double,
@@ -69,7 +69,7 @@
             holdMillis: Long,
         ) {
             val began = currentTime
-            val organisation = OrganisationName(if (knowsOrganisations) name else "all")
+            val organisation = OrganisationName(if (perOrganisation) name else "all")
             val ticket = queue.acquire(AdmissionRequest(organisation)).component1()
             if (ticket == null && name in SMALL) smallRefused += 1
             ticket?.use { delay(holdMillis) }
@@ -80,17 +80,17 @@
     private fun figures(
         name: String,
         seed: Long,
-        knowsOrganisations: Boolean,
-        floodsPerSecond: Double,
-    ) = Run(seed, knowsOrganisations, floodsPerSecond).figures().also { println("queue=$name seed=$seed small $it") }
+        perOrganisation: Boolean,
+        floodPerSecond: Double,
+    ) = Run(seed, perOrganisation, floodPerSecond).figures().also { println("queue=$name seed=$seed small $it") }
 
     @TestFactory
-    fun `a flood refuses no small organisation and hardly slows it`(): List<DynamicTest> =
+    fun `a flood gets no small organisation refused and hardly delays it`(): List<DynamicTest> =
         listOf(1L, 2L, 3L).map { seed ->
             dynamicTest("seed $seed") {
-                figures("fair-quiet", seed, knowsOrganisations = true, floodsPerSecond = 0.0)
-                val plain = figures("plain-flood", seed, knowsOrganisations = false, FLOODS_PER_SECOND)
-                val fair = figures("fair-flood", seed, knowsOrganisations = true, FLOODS_PER_SECOND)
+                figures("fair-quiet", seed, perOrganisation = true, floodPerSecond = 0.0)
+                val plain = figures("plain-flood", seed, perOrganisation = false, FLOOD_PER_SECOND)
+                val fair = figures("fair-flood", seed, perOrganisation = true, FLOOD_PER_SECOND)
                 expectThat(fair.refused).isEqualTo(0)
                 expectThat(fair.p99Millis).isLessThan(plain.p50Millis)
             }
@@ -100,7 +100,7 @@
         const val PERMITS = 8
         const val END_MILLIS = 120_000L
         const val SMALL_PER_SECOND = 1.0
-        const val FLOODS_PER_SECOND = 40.0
+        const val FLOOD_PER_SECOND = 40.0
         val SMALL = listOf("small-1", "small-2", "small-3")
     }
 }
--- a/limits/src/test/kotlin/io/carawaytrack/limits/MemoryBudgetTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/MemoryBudgetTest.kt
@@ -1,5 +1,5 @@
 /*
- * The memory budget as a table of what streams hold and what one that asks for more is told.
+ * Tests the decision on a request for memory, given what the streams hold and how fast their readers are.
  */
 package io.carawaytrack.limits
 
@@ -21,7 +21,7 @@
 
 @OptIn(ExperimentalCoroutinesApi::class)
 class MemoryBudgetTest {
-    private class Bench {
+    private class Fixture {
         var nowMillis = 0L
         val budget =
             MemoryBudget(
@@ -42,36 +42,36 @@
     private data class Case(
         val name: String,
         val expected: MemoryDecision,
-        val ask: Bench.() -> MemoryDecision,
+        val request: Fixture.() -> MemoryDecision,
     )
 
     private val cases =
         listOf(
-            Case("room for all", MemoryDecision.Granted) { reserve(1, 400) },
-            Case("a stream at its own bound pauses", MemoryDecision.Pause) {
+            Case("bytes within all limits are granted", MemoryDecision.Granted) { reserve(1, 400) },
+            Case("a stream at its own limit pauses", MemoryDecision.Pause) {
                 reserve(1, 400)
                 reserve(1, 1)
             },
-            Case("a first part above the bound is taken", MemoryDecision.Granted) { reserve(1, 500) },
-            Case("at the hard bound with fast readers the asking stream pauses", MemoryDecision.Pause) {
+            Case("a first part above the stream limit is granted", MemoryDecision.Granted) { reserve(1, 500) },
+            Case("at the hard limit with fast readers the requesting stream pauses", MemoryDecision.Pause) {
                 (1L..3L).forEach { reserve(it, 330) }
                 reserve(4, 100)
             },
-            Case("above the soft bound a slow stream pauses", MemoryDecision.Pause) {
+            Case("above the soft limit a slow stream pauses", MemoryDecision.Pause) {
                 reserve(1, 100)
                 nowMillis = 1_001
                 reserve(2, 400)
                 reserve(3, 260)
                 reserve(1, 10)
             },
-            Case("above the soft bound a fast stream goes on", MemoryDecision.Granted) {
+            Case("above the soft limit a fast stream continues", MemoryDecision.Granted) {
                 reserve(1, 100)
                 nowMillis = 1_001
                 reserve(2, 400)
                 reserve(3, 260)
                 reserve(4, 10)
             },
-            Case("at the hard bound the slow stream that holds the most is ended", MemoryDecision.End(StreamId(2))) {
+            Case("at the hard limit the slow stream that holds the most is ended", MemoryDecision.End(StreamId(2))) {
                 reserve(1, 100)
                 reserve(2, 300)
                 nowMillis = 1_001
@@ -79,7 +79,7 @@
                 reserve(4, 200)
                 reserve(5, 100)
             },
-            Case("a slow stream does not end another", MemoryDecision.Pause) {
+            Case("a slow stream does not cause another one to be ended", MemoryDecision.Pause) {
                 reserve(1, 100)
                 reserve(2, 300)
                 nowMillis = 1_001
@@ -87,7 +87,7 @@
                 reserve(4, 200)
                 reserve(1, 100)
             },
-            Case("a reader that trickles is slow", MemoryDecision.End(StreamId(1))) {
+            Case("a reader that consumes small amounts is slow", MemoryDecision.End(StreamId(1))) {
                 reserve(1, 390)
                 repeat(12) {
                     nowMillis += 100
@@ -97,11 +97,11 @@
                 reserve(3, 200)
                 reserve(4, 100)
             },
-            Case("a stream that was closed is told to end", MemoryDecision.End(StreamId(1))) {
+            Case("a closed stream must end", MemoryDecision.End(StreamId(1))) {
                 budget.close(StreamId(1))
                 reserve(1, 10)
             },
-            Case("a reader that has taken all of it is fast", MemoryDecision.Pause) {
+            Case("a reader that has consumed all bytes is fast", MemoryDecision.Pause) {
                 reserve(1, 390)
                 nowMillis = 1_001
                 release(1, 390)
@@ -113,42 +113,42 @@
         )
 
     @TestFactory
-    fun `a stream that asks is told what to do`(): List<DynamicTest> = cases.map { case ->
-        dynamicTest(case.name) { expectThat(Bench().run(case.ask)).isEqualTo(case.expected) }
+    fun `reserve returns the decision`(): List<DynamicTest> = cases.map { case ->
+        dynamicTest(case.name) { expectThat(Fixture().run(case.request)).isEqualTo(case.expected) }
     }
 
     @Test
-    fun `a paused stream goes on when another gives bytes back`() = runTest {
-        val bench = Bench()
-        (1L..3L).forEach { bench.reserve(it, 330) }
-        val room = async { bench.budget.awaitCapacity(StreamId(1), 50) }
+    fun `a paused stream continues when another releases bytes`() = runTest {
+        val fixture = Fixture()
+        (1L..3L).forEach { fixture.reserve(it, 330) }
+        val capacity = async { fixture.budget.awaitCapacity(StreamId(1), 50) }
         runCurrent()
-        expectThat(room.isCompleted).isFalse()
-        bench.budget.close(StreamId(2))
+        expectThat(capacity.isCompleted).isFalse()
+        fixture.budget.close(StreamId(2))
         runCurrent()
-        expectThat(room.isCompleted).isTrue()
-        expectThat(bench.budget.usedBytes).isEqualTo(660)
+        expectThat(capacity.isCompleted).isTrue()
+        expectThat(fixture.budget.usedBytes).isEqualTo(660)
     }
 
     @TestFactory
-    fun `with half of all readers stalled no fast one is ended and the bound holds`(): List<DynamicTest> =
+    fun `with half of all readers stalled no fast one is ended and the hard limit holds`(): List<DynamicTest> =
         listOf(1L, 2L, 3L).map { seed ->
             dynamicTest("seed $seed") {
-                val bench = Bench()
+                val fixture = Fixture()
                 val random = Random(seed)
                 val ended = mutableSetOf<Long>()
                 var peakBytes = 0L
                 repeat(5_000) {
-                    bench.nowMillis += 5
+                    fixture.nowMillis += 5
                     val stream = random.nextLong(1, STREAMS + 1)
                     if (stream in ended) return@repeat
-                    val decision = bench.reserve(stream, 20)
-                    peakBytes = maxOf(peakBytes, bench.budget.usedBytes)
+                    val decision = fixture.reserve(stream, 20)
+                    peakBytes = maxOf(peakBytes, fixture.budget.usedBytes)
                     if (decision is MemoryDecision.End) {
-                        bench.budget.close(decision.stream)
+                        fixture.budget.close(decision.stream)
                         ended += decision.stream.value
                     }
-                    if (stream > 10) bench.release(stream, 20)
+                    if (stream > 10) fixture.release(stream, 20)
                 }
                 expectThat(ended.count { it > 10 }).isEqualTo(0)
                 expectThat(peakBytes).isLessThanOrEqualTo(1_000)
--- a/limits/src/test/kotlin/io/carawaytrack/limits/ParallelUseTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/ParallelUseTest.kt
@@ -1,5 +1,5 @@
 /*
- * The limits under many threads: their bounds hold and nothing is lost.
+ * Tests under concurrent use that the limits hold and that every permit and byte is returned.
  */
 package io.carawaytrack.limits
 
@@ -17,7 +17,7 @@
 
 class ParallelUseTest {
     @Test
-    fun `no more requests run at once than there are permits, whoever gives up`() {
+    fun `concurrent requests do not exceed the permits when some are cancelled`() {
         val queue = AdmissionQueue(AdmissionSettings(maxWaiting = 10_000), { 0 }) { 4 }
         val running = AtomicInteger()
         val peak = AtomicInteger()
@@ -40,7 +40,7 @@
     }
 
     @Test
-    fun `memory that many streams reserve and release stays within the bound and comes back`() {
+    fun `memory used by concurrent streams stays within the limit and is released`() {
         val budget = MemoryBudget(MemorySettings(hardBytes = 1_000, streamBytes = 200)) { 0 }
         val peakBytes = AtomicLong()
         runBlocking(Dispatchers.Default) {
--- a/limits/src/test/kotlin/io/carawaytrack/limits/QuarantineTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/QuarantineTest.kt
@@ -1,5 +1,5 @@
 /*
- * The quarantine: the request that crashes upstreams is refused, the others are not, and agents agree.
+ * Tests that requests which crash upstreams are refused, that others are not, and that agents combine their reports.
  */
 package io.carawaytrack.limits
 
@@ -16,7 +16,7 @@
 import strikt.assertions.isNull
 
 class QuarantineTest {
-    private class Bench(
+    private class Fixture(
         maxSuspects: Int = 8,
     ) {
         var nowMillis = 0L
@@ -36,14 +36,14 @@
         val name: String,
         val refused: Set<Long>,
         val maxSuspects: Int = 8,
-        val steps: Bench.() -> Unit,
+        val steps: Fixture.() -> Unit,
     )
 
     private val cases =
         listOf(
-            Case("two deaths are not enough", emptySet()) { repeat(2) { first.die(1) } },
-            Case("three deaths are", setOf(1)) { repeat(3) { first.die(1) } },
-            Case("requests that stood beside it once are not harmed", setOf(1)) {
+            Case("two deaths do not quarantine a request", emptySet()) { repeat(2) { first.die(1) } },
+            Case("three deaths quarantine a request", setOf(1)) { repeat(3) { first.die(1) } },
+            Case("requests that ran beside it once are not refused", setOf(1)) {
                 first.die(1, 2)
                 first.die(1, 3)
                 first.die(1, 4)
@@ -60,38 +60,38 @@
                 first.finished(1, completed = false)
                 first.die(1)
             },
-            Case("what was finished before the death is not counted", emptySet()) {
+            Case("a request that finished before the death is not counted", emptySet()) {
                 repeat(3) {
                     first.started(1)
                     first.finished(1, completed = false)
                     first.upstreamDied()
                 }
             },
-            Case("deaths seen by several agents add up", setOf(1)) {
+            Case("deaths reported by several agents are summed", setOf(1)) {
                 repeat(2) { second.die(1) }
                 first.die(1)
                 first.merge(second.report())
             },
-            Case("the same report again adds nothing", emptySet()) {
+            Case("a repeated report has no effect", emptySet()) {
                 second.die(1)
                 first.die(1)
                 repeat(5) { first.merge(second.report()) }
             },
-            Case("a late older report does not replace a newer one", setOf(1)) {
+            Case("an older report that arrives late does not replace a newer one", setOf(1)) {
                 val older = second.report()
                 repeat(3) { second.die(1) }
                 first.merge(second.report())
                 first.merge(older)
             },
-            Case("an agent's own report that comes back adds nothing", emptySet()) {
+            Case("an agent ignores its own report", emptySet()) {
                 repeat(2) { first.die(1) }
                 first.merge(first.report())
             },
-            Case("old deaths are forgotten", emptySet()) {
+            Case("old deaths expire", emptySet()) {
                 repeat(3) { first.die(1) }
                 nowMillis += 1_000
             },
-            Case("old deaths are forgotten although they are reported again", emptySet()) {
+            Case("old deaths expire although they are reported again", emptySet()) {
                 repeat(3) { second.die(1) }
                 first.merge(second.report())
                 nowMillis += 900
@@ -99,7 +99,7 @@
                 first.merge(second.report())
                 nowMillis += 100
             },
-            Case("what another agent has cleared no longer counts", emptySet()) {
+            Case("deaths that another agent has cleared do not count", emptySet()) {
                 repeat(2) { second.die(1) }
                 first.die(1)
                 first.merge(second.report())
@@ -107,7 +107,7 @@
                 second.finished(1, completed = true)
                 first.merge(second.report())
             },
-            Case("the oldest suspect gives way", setOf(2), maxSuspects = 1) {
+            Case("the oldest suspect is evicted", setOf(2), maxSuspects = 1) {
                 repeat(3) { first.die(1) }
                 repeat(3) { first.die(2) }
             },
@@ -116,20 +116,20 @@
     @TestFactory
     fun `requests that crash upstreams are refused`(): List<DynamicTest> = cases.map { case ->
         dynamicTest(case.name) {
-            val bench = Bench(case.maxSuspects).apply(case.steps)
-            val refused = (1L..4L).filter { bench.first.refusalOf(it) != null }.toSet()
+            val fixture = Fixture(case.maxSuspects).apply(case.steps)
+            val refused = (1L..4L).filter { fixture.first.refusalOf(it) != null }.toSet()
             expectThat(refused).isEqualTo(case.refused)
         }
     }
 
     @Test
-    fun `a refusal says that the request is quarantined and did not run`() {
-        val bench = Bench()
-        with(bench) { repeat(3) { first.die(1) } }
-        expectThat(bench.first.refusalOf(1)).isNotNull().and {
+    fun `a refusal has kind Quarantined and reports NotRun`() {
+        val fixture = Fixture()
+        with(fixture) { repeat(3) { first.die(1) } }
+        expectThat(fixture.first.refusalOf(1)).isNotNull().and {
             get { kind }.isEqualTo(ErrorKind.Quarantined)
             get { execution }.isEqualTo(Execution.NotRun)
         }
-        expectThat(bench.second.refusalOf(1)).isNull()
+        expectThat(fixture.second.refusalOf(1)).isNull()
     }
 }
--- a/limits/src/test/kotlin/io/carawaytrack/limits/RetryBudgetTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/RetryBudgetTest.kt
@@ -1,5 +1,5 @@
 /*
- * The retry budget as a table of requests seen and retries granted.
+ * Tests how many retries are granted for a number of recent requests.
  */
 package io.carawaytrack.limits
 
@@ -19,11 +19,11 @@
 
     private val cases =
         listOf(
-            Case("few requests leave the least", requests = 1, laterMillis = 0, granted = 2),
-            Case("many requests leave their share", requests = 100, laterMillis = 0, granted = 10),
-            Case("requests within the window still count", requests = 100, laterMillis = 8_900, granted = 10),
-            Case("requests before the window count no more", requests = 100, laterMillis = 10_000, granted = 2),
-            Case("requests long ago count no more", requests = 100, laterMillis = 10_000_000, granted = 2),
+            Case("few requests allow the minimum", requests = 1, laterMillis = 0, granted = 2),
+            Case("many requests allow their share", requests = 100, laterMillis = 0, granted = 10),
+            Case("requests within the window count", requests = 100, laterMillis = 8_900, granted = 10),
+            Case("requests before the window do not count", requests = 100, laterMillis = 10_000, granted = 2),
+            Case("requests long before the window do not count", requests = 100, laterMillis = 10_000_000, granted = 2),
         )
 
     @TestFactory
--- a/limits/src/test/kotlin/io/carawaytrack/limits/SimulatedUpstream.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/SimulatedUpstream.kt
@@ -1,20 +1,20 @@
 /*
- * An upstream in simulated time for the comparison of limits. It shares its speed among the requests that run; beyond
- * its capacity it also loses speed, as an engine does that has to work out again what no longer fits its memory.
+ * An upstream in simulated time for the comparison of limits. Its throughput is shared among the running requests and
+ * decreases above its capacity, like that of an engine that recomputes what no longer fits into its memory.
  */
 package io.carawaytrack.limits
 
 import kotlin.math.ln
 import kotlin.random.Random
 
-/** Describes a stretch of time under one load. */
+/** Describes a period of constant load and capacity. */
 data class LoadPhase(
     val untilMillis: Double,
     val capacity: Int,
     val requestsPerSecond: Double,
 )
 
-/** Sums up what came of the requests of a run, or of those that arrived in one phase of it. */
+/** Summarises the outcome of the requests that arrived in one phase of a run. */
 data class RunFigures(
     val completed: Int,
     val dropped: Int,
@@ -32,7 +32,7 @@
         val arrivedMillis: Double,
         val tokens: Long,
     ) {
-        var leftTokens = tokens.toDouble()
+        var remainingTokens = tokens.toDouble()
         var startedMillis = 0.0
     }
 
@@ -43,17 +43,17 @@
     private val drops = IntArray(phases.size)
     private var nowMillis = 0.0
 
-    /** Runs to the end of the last phase and returns the figures of each. */
+    /** Runs until the end of the last phase and returns the figures of each phase. */
     fun run(): List<RunFigures> {
         var arrivalMillis = nextArrival()
         while (nowMillis < phases.last().untilMillis) {
-            val endMillis = nowMillis + (running.minOfOrNull { it.leftTokens } ?: Double.MAX_VALUE) * tokenMillis()
+            val endMillis = nowMillis + (running.minOfOrNull { it.remainingTokens } ?: Double.MAX_VALUE) * tokenMillis()
             if (endMillis < arrivalMillis) {
                 advanceTo(endMillis)
-                end(running.minBy { it.leftTokens })
+                end(running.minBy { it.remainingTokens })
             } else {
                 advanceTo(arrivalMillis)
-                waiting.addLast(Request(nowMillis, random.nextLong(FEWEST_TOKENS, MOST_TOKENS)))
+                waiting.addLast(Request(nowMillis, random.nextLong(MIN_TOKENS, MAX_TOKENS_EXCLUSIVE)))
                 arrivalMillis = nextArrival()
             }
             admit()
@@ -69,13 +69,13 @@
 
     private fun tokenMillis(): Double {
         val capacity = phases[phaseAt(nowMillis)].capacity
-        val over = maxOf(0, running.size - capacity)
-        return IDLE_TOKEN_MILLIS * maxOf(1.0, running.size.toDouble() / capacity) * (1 + over * LOSS_PER_REQUEST_OVER)
+        val excess = maxOf(0, running.size - capacity)
+        return IDLE_TOKEN_MILLIS * maxOf(1.0, running.size.toDouble() / capacity) * (1 + excess * EXCESS_SLOWDOWN_RATIO)
     }
 
     private fun advanceTo(millis: Double) {
         val tokens = (millis - nowMillis) / tokenMillis()
-        running.forEach { it.leftTokens -= tokens }
+        running.forEach { it.remainingTokens -= tokens }
         nowMillis = millis
     }
 
@@ -86,7 +86,7 @@
     }
 
     private fun admit() {
-        while (waiting.isNotEmpty() && nowMillis - waiting.first().arrivedMillis > LONGEST_WAIT_MILLIS) {
+        while (waiting.isNotEmpty() && nowMillis - waiting.first().arrivedMillis > MAX_WAIT_MILLIS) {
             drops[phaseAt(waiting.removeFirst().arrivedMillis)] += 1
         }
         while (running.size < limit() && waiting.isNotEmpty()) {
@@ -104,9 +104,9 @@
 
     private companion object {
         const val IDLE_TOKEN_MILLIS = 10.0
-        const val LOSS_PER_REQUEST_OVER = 0.03
-        const val FEWEST_TOKENS = 50L
-        const val MOST_TOKENS = 151L
-        const val LONGEST_WAIT_MILLIS = 5_000.0
+        const val EXCESS_SLOWDOWN_RATIO = 0.03
+        const val MIN_TOKENS = 50L
+        const val MAX_TOKENS_EXCLUSIVE = 151L
+        const val MAX_WAIT_MILLIS = 5_000.0
     }
 }
--- a/limits/src/test/kotlin/io/carawaytrack/limits/SlowStartTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/SlowStartTest.kt
@@ -1,5 +1,5 @@
 /*
- * Slow start as tables of what an upstream shows and the permits that follow.
+ * Tests which permits follow from the latencies, failures and restarts of an upstream.
  */
 package io.carawaytrack.limits
 
@@ -11,7 +11,7 @@
 import strikt.assertions.isIn
 
 class SlowStartTest {
-    private class Bench {
+    private class Fixture {
         var nowMillis = 0L
         val slowStart =
             SlowStart(SlowStartSettings(initialPermits = 2, maxPermits = 16, rampMillis = 1_000)) { nowMillis }
@@ -31,87 +31,87 @@
     private data class Case(
         val name: String,
         val permits: IntRange,
-        val steps: Bench.() -> Unit,
+        val steps: Fixture.() -> Unit,
     )
 
     private val cases =
         listOf(
-            Case("nothing seen leaves the start", 2..2) { nowMillis += 60_000 },
-            Case("one round shows nothing yet", 2..2) { complete(2, tokenMillis = 10) },
-            Case("good requests lead to the maximum", 16..16) { warmUp() },
+            Case("without observations the initial permits remain", 2..2) { nowMillis += 60_000 },
+            Case("one round is not sufficient evidence", 2..2) { complete(2, tokenMillis = 10) },
+            Case("healthy requests lead to the maximum", 16..16) { warmUp() },
             Case(
-                "good requests lead no faster than the ramp",
+                "healthy requests lead no faster than the ramp",
                 2..9,
             ) { complete(500, tokenMillis = 10, eachMillis = 1) },
-            Case("latency that still falls is no evidence", 2..2) {
+            Case("falling latency is no evidence of a warm upstream", 2..2) {
                 listOf(160L, 80, 40, 20, 10).forEach { complete(2, tokenMillis = it) }
             },
-            Case("one slow request is no relapse", 16..16) {
+            Case("one slow request causes no reset", 16..16) {
                 warmUp()
                 complete(1, tokenMillis = 100)
             },
-            Case("a pause that slows all requests that run halves the permits once", 8..8) {
+            Case("a pause that slows all running requests halves the permits once", 8..8) {
                 warmUp()
                 complete(16, tokenMillis = 100, eachMillis = 1)
             },
-            Case("after a pause good requests lead back to the maximum", 16..16) {
+            Case("after a pause healthy requests lead back to the maximum", 16..16) {
                 warmUp()
                 complete(16, tokenMillis = 100, eachMillis = 1)
                 complete(60, tokenMillis = 10)
             },
-            Case("slow requests that began after slow ones are a relapse", 2..2) {
+            Case("slow requests that began after slow ones cause a reset", 2..2) {
                 warmUp()
                 complete(3, tokenMillis = 100, eachMillis = 1)
                 nowMillis += 100 * TOKENS
                 complete(3, tokenMillis = 100)
             },
-            Case("two pauses with good requests between are no relapse", 16..16) {
+            Case("two pauses with healthy requests between cause no reset", 16..16) {
                 warmUp()
                 repeat(2) {
                     complete(16, tokenMillis = 100, eachMillis = 1)
                     complete(60, tokenMillis = 10)
                 }
             },
-            Case("good requests between slow ones are no relapse", 16..16) {
+            Case("healthy requests between slow ones prevent a reset", 16..16) {
                 warmUp()
                 repeat(4) {
                     complete(2, tokenMillis = 100)
                     complete(1, tokenMillis = 10)
                 }
             },
-            Case("failures in a row are a relapse", 2..2) {
+            Case("consecutive failures cause a reset", 2..2) {
                 warmUp()
                 repeat(3) { slowStart.failed() }
             },
-            Case("failures between requests that began before them are a relapse", 2..2) {
+            Case("failures between requests that began before them cause a reset", 2..2) {
                 warmUp()
                 repeat(3) {
                     slowStart.failed()
                     complete(1, tokenMillis = 10, eachMillis = 1)
                 }
             },
-            Case("failures between requests that began after them are no relapse", 16..16) {
+            Case("failures between requests that began after them cause no reset", 16..16) {
                 warmUp()
                 repeat(6) {
                     slowStart.failed()
                     complete(1, tokenMillis = 10, eachMillis = 1_000)
                 }
             },
-            Case("a restart takes the permits back at once", 2..2) {
+            Case("a restart resets the permits immediately", 2..2) {
                 warmUp()
                 slowStart.restarted()
             },
-            Case("after a relapse the ramp holds although the latency is known", 2..3) {
+            Case("after a reset the ramp applies although the latency is known", 2..3) {
                 warmUp()
                 slowStart.restarted()
                 complete(50, tokenMillis = 10, eachMillis = 1)
             },
-            Case("after a relapse slow requests keep the permits low", 2..2) {
+            Case("after a reset slow requests keep the permits low", 2..2) {
                 warmUp()
                 slowStart.restarted()
                 complete(50, tokenMillis = 25)
             },
-            Case("after a relapse good requests lead back to the maximum", 16..16) {
+            Case("after a reset healthy requests lead back to the maximum", 16..16) {
                 warmUp()
                 slowStart.restarted()
                 warmUp()
@@ -119,11 +119,11 @@
         )
 
     @TestFactory
-    fun `permits follow the evidence`(): List<DynamicTest> = cases.map { case ->
+    fun `permits after the observations`(): List<DynamicTest> = cases.map { case ->
         dynamicTest(case.name) {
-            val bench = Bench().apply(case.steps)
-            expectThat(bench.slowStart.permits).isIn(case.permits)
-            expectThat(bench.slowStart.isWarm).isEqualTo(bench.slowStart.permits == 16)
+            val fixture = Fixture().apply(case.steps)
+            expectThat(fixture.slowStart.permits).isIn(case.permits)
+            expectThat(fixture.slowStart.isWarm).isEqualTo(fixture.slowStart.permits == 16)
         }
     }
 
--- a/limits/src/test/kotlin/io/carawaytrack/limits/StalledReadersRunTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/StalledReadersRunTest.kt
@@ -1,6 +1,6 @@
 /*
- * The memory held and the delay of fast readers while half of all readers stall, in simulated time, with the rule of
- * the memory budget and with less than it.
+ * Simulates the memory held and the delay of fast readers while half of all readers stall, with the rule of the memory
+ * budget and with parts of it disabled.
  */
 package io.carawaytrack.limits
 
@@ -15,7 +15,7 @@
 import kotlin.random.Random
 
 class StalledReadersRunTest {
-    /** Counts streams that were ended by whether their reader stalled; delays are those of fast readers. */
+    /** Describes a run: ended streams with stalled and with fast readers, and the delays of the fast readers. */
     private data class Figures(
         val peakBytes: Long,
         val endedStalled: Int,
@@ -61,16 +61,16 @@
             return Figures(peakBytes, endedStalled.size, endedFast.size, p50Millis, sorted[sorted.size * 99 / 100])
         }
 
-        /** Offers every part that the engine has worked out by now and that has found no room yet. */
+        /** Reserves memory for every part that the engine has produced by now and that is not yet buffered. */
         private fun produce(stream: Stream) {
-            while (!stream.isEnded && stream.producedMillis + PART_EVERY_MILLIS <= nowMillis) {
+            while (!stream.isEnded && stream.producedMillis + PART_INTERVAL_MILLIS <= nowMillis) {
                 val decision = budget.reserve(stream.id, PART_BYTES)
                 peakBytes = maxOf(peakBytes, budget.usedBytes)
                 if (decision == MemoryDecision.Pause) return
                 if (decision is MemoryDecision.End) {
                     end(streams.first { it.id == decision.stream })
                 } else {
-                    stream.producedMillis += PART_EVERY_MILLIS
+                    stream.producedMillis += PART_INTERVAL_MILLIS
                     stream.unread.addLast(stream.producedMillis)
                 }
             }
@@ -98,19 +98,19 @@
     ) = Run(seed, stalled, settings).figures().also { println("memory=$name seed=$seed $it") }
 
     @TestFactory
-    fun `stalled readers neither slow nor end the fast ones, and memory stays within its bound`(): List<DynamicTest> =
+    fun `stalled readers neither slow nor end fast ones, and memory stays within its limit`(): List<DynamicTest> =
         listOf(1L, 2L, 3L).map { seed ->
             dynamicTest("seed $seed") {
-                val quiet = figures("rule-none-stalled", seed, stalled = 0, RULE)
-                val unbounded = figures("no-bound", seed, STREAMS / 2, UNBOUNDED)
-                val pausing = figures("pause-only", seed, STREAMS / 2, RULE.copy(slowAfterMillis = END_MILLIS))
+                val noneStalled = figures("rule-none-stalled", seed, stalled = 0, RULE)
+                val unlimited = figures("no-bound", seed, STREAMS / 2, UNLIMITED)
+                val pauseOnly = figures("pause-only", seed, STREAMS / 2, RULE.copy(slowAfterMillis = END_MILLIS))
                 figures("rule-late", seed, STREAMS / 2, RULE.copy(slowAfterMillis = 1_000))
                 val rule = figures("rule", seed, STREAMS / 2, RULE)
-                expectThat(unbounded.peakBytes).isGreaterThan(RULE.hardBytes)
-                expectThat(pausing.peakBytes).isGreaterThan(rule.peakBytes)
+                expectThat(unlimited.peakBytes).isGreaterThan(RULE.hardBytes)
+                expectThat(pauseOnly.peakBytes).isGreaterThan(rule.peakBytes)
                 expectThat(rule.peakBytes).isLessThanOrEqualTo(RULE.hardBytes)
                 expectThat(rule.endedFast).isEqualTo(0)
-                expectThat(rule.p99Millis.toDouble()).isLessThan(quiet.p99Millis * MOST_DELAY_RATIO)
+                expectThat(rule.p99Millis.toDouble()).isLessThan(noneStalled.p99Millis * MAX_DELAY_RATIO)
             }
         }
 
@@ -118,10 +118,10 @@
         const val STREAMS = 40
         const val END_MILLIS = 30_000L
         const val STEP_MILLIS = 5L
-        const val PART_EVERY_MILLIS = 20L
+        const val PART_INTERVAL_MILLIS = 20L
         const val PART_BYTES = 400L
-        const val MOST_DELAY_RATIO = 1.1
+        const val MAX_DELAY_RATIO = 1.1
         val RULE = MemorySettings(hardBytes = 320_000, streamBytes = 64_000, slowAfterMillis = 300)
-        val UNBOUNDED = MemorySettings(hardBytes = Long.MAX_VALUE / 2, streamBytes = Long.MAX_VALUE / 2)
+        val UNLIMITED = MemorySettings(hardBytes = Long.MAX_VALUE / 2, streamBytes = Long.MAX_VALUE / 2)
     }
 }
