--- a/limits/src/main/kotlin/io/carawaytrack/limits/ConcurrencyLimit.kt
+++ b/limits/src/main/kotlin/io/carawaytrack/limits/ConcurrencyLimit.kt
@@ -8,8 +8,8 @@
  * Describes a window of completed requests.
  *
  * @property tokenMillis mean time per token within the window
- * @property idleTokenMillis time per token of the upstream without load, as far as known
- * @property isNearLimit whether the limit was nearly reached; otherwise the window says nothing about a higher limit
+ * @property idleTokenMillis estimated time per token of the upstream without load
+ * @property isNearLimit whether the limit was nearly reached; otherwise the window is no evidence for a higher limit
  */
 public data class LimitWindow(
     val tokenMillis: Double,
--- a/limits/src/test/kotlin/io/carawaytrack/limits/ColdStartRunTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/ColdStartRunTest.kt
@@ -29,11 +29,11 @@
     )
 
     /** Describes what the agent observes of the second cold start besides the latency. */
-    private enum class Relapse { RestartSeen, RequestsLost, Quiet }
+    private enum class ColdRestart { RestartSeen, RequestsLost, Quiet }
 
     private class Run(
         seed: Long,
-        private val relapse: Relapse,
+        private val coldRestart: ColdRestart,
         slowStart: (() -> Long) -> SlowStart,
     ) {
         private class Request(
@@ -55,7 +55,7 @@
 
         fun figures(): Figures {
             while (nowMillis < END_MILLIS) {
-                if (bootMillis == 0L && nowMillis >= RELAPSE_MILLIS) restart()
+                if (bootMillis == 0L && nowMillis >= SECOND_COLD_START_MILLIS) restart()
                 while (running.size < permits.permits) begin()
                 if (running.size >= WARM_CAPACITY) fullAfterMillis = fullAfterMillis ?: nowMillis
                 val next = running.poll()
@@ -67,8 +67,8 @@
 
         private fun restart() {
             bootMillis = nowMillis
-            if (relapse == Relapse.RestartSeen) permits.restarted()
-            if (relapse == Relapse.Quiet) return
+            if (coldRestart == ColdRestart.RestartSeen) permits.restarted()
+            if (coldRestart == ColdRestart.Quiet) return
             repeat(running.size) { permits.failed() }
             running.clear()
         }
@@ -103,22 +103,22 @@
     private fun figures(
         name: String,
         seed: Long,
-        relapse: Relapse,
+        coldRestart: ColdRestart,
         slowStart: (() -> Long) -> SlowStart,
-    ) = Run(seed, relapse, slowStart).figures().also {
-        println("start=$name relapse=$relapse seed=$seed $it")
+    ) = Run(seed, coldRestart, slowStart).figures().also {
+        println("start=$name relapse=$coldRestart seed=$seed $it")
     }
 
     @TestFactory
     fun `a cold upstream is not sent more than it sustains`(): List<DynamicTest> = listOf(1L, 2L, 3L).map { seed ->
         dynamicTest("seed $seed") {
-            Relapse.entries.forEach { relapse ->
-                val none = figures("none", seed, relapse) { Unlimited() }
-                val evidenceOnly = figures("evidence", seed, relapse, evidence(rampMillis = 1))
-                figures("ramp-half", seed, relapse, evidence(COLD_MILLIS / 2))
-                val ramp = figures("ramp", seed, relapse, evidence(COLD_MILLIS))
+            ColdRestart.entries.forEach { coldRestart ->
+                val none = figures("none", seed, coldRestart) { Unlimited() }
+                val evidenceOnly = figures("evidence", seed, coldRestart, evidence(rampMillis = 1))
+                figures("ramp-half", seed, coldRestart, evidence(COLD_MILLIS / 2))
+                val ramp = figures("ramp", seed, coldRestart, evidence(COLD_MILLIS))
                 expectThat(ramp.overAtStart).isEqualTo(0)
-                if (relapse != Relapse.Quiet) expectThat(ramp.overAfterRelapse).isEqualTo(0)
+                if (coldRestart != ColdRestart.Quiet) expectThat(ramp.overAfterRelapse).isEqualTo(0)
                 expectThat(ramp.overAfterRelapse).isLessThan(none.overAfterRelapse)
                 expectThat(evidenceOnly.overAtStart).isLessThan(none.overAtStart)
             }
@@ -127,7 +127,7 @@
 
     private companion object {
         const val COLD_MILLIS = 20_000L
-        const val RELAPSE_MILLIS = 60_000L
+        const val SECOND_COLD_START_MILLIS = 60_000L
         const val END_MILLIS = 120_000L
         const val COLD_CAPACITY = 2
         const val WARM_CAPACITY = 16
--- a/routing/src/main/kotlin/io/carawaytrack/routing/RouteEstimates.kt
+++ b/routing/src/main/kotlin/io/carawaytrack/routing/RouteEstimates.kt
@@ -30,7 +30,7 @@
 )
 
 /**
- * Holds the best plan and the plans to try beside it.
+ * Holds the best plan and the alternatives that are tried on a share of requests.
  *
  * @property peers when the best plan has a single step, the members that meet the target at the same price, including
  * the one that the plan names
