--- a/agent/src/main/kotlin/io/carawaytrack/agent/EntryService.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/EntryService.kt
@@ -64,7 +64,7 @@
 
     /** Refuses new attempts and waits until no attempt is running. */
     suspend fun awaitIdle() {
-        admission.closeForNew()
+        admission.stopAccepting()
         admission.awaitIdle()
     }
 
--- a/entry/src/main/kotlin/io/carawaytrack/entry/RequestHandler.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/RequestHandler.kt
@@ -121,8 +121,8 @@
             route = request.route,
             pinned = pinned,
             estimatedTokens = request.estimatedTokens,
-            oneVersion = (request.session != null && pinned == null) || request.streamed,
-            full = exhaustedVersions,
+            singleVersion = (request.session != null && pinned == null) || request.streamed,
+            fullVersions = exhaustedVersions,
         ),
     )
 
@@ -233,7 +233,7 @@
         step: PlanStep,
     ): Boolean {
         val rating = rateAndRecord(request, answer.version, answer.body, escalated = false) ?: return false
-        return rating >= (step.acceptRating ?: 0.0)
+        return rating >= (step.minAcceptedRating ?: 0.0)
     }
 
     private suspend fun rateAndRecord(
--- a/limits/src/test/kotlin/io/carawaytrack/limits/RetryBudgetTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/RetryBudgetTest.kt
@@ -1,5 +1,5 @@
 /*
- * The retry budget as a table of requests seen and retries granted.
+ * Tests how many retries are granted for a number of recent requests.
  */
 package io.carawaytrack.limits
 
@@ -19,22 +19,22 @@
 
     private val cases =
         listOf(
-            Case("few requests leave the least", requests = 1, laterMillis = 0, granted = 2),
-            Case("many requests leave their share", requests = 100, laterMillis = 0, granted = 10),
-            Case("requests within the window still count", requests = 100, laterMillis = 8_900, granted = 10),
-            Case("requests before the window count no more", requests = 100, laterMillis = 10_000, granted = 2),
-            Case("requests long ago count no more", requests = 100, laterMillis = 10_000_000, granted = 2),
+            Case("few requests allow the minimum", requests = 1, laterMillis = 0, granted = 2),
+            Case("many requests allow their share", requests = 100, laterMillis = 0, granted = 10),
+            Case("requests within the window count", requests = 100, laterMillis = 8_900, granted = 10),
+            Case("requests before the window do not count", requests = 100, laterMillis = 10_000, granted = 2),
+            Case("requests long before the window do not count", requests = 100, laterMillis = 10_000_000, granted = 2),
         )
 
     @TestFactory
     fun `retries are a share of recent requests`(): List<DynamicTest> = cases.map { case ->
         dynamicTest(case.name) {
             var nowMillis = 0L
-            val settings = RetrySettings(retryRatio = 0.1, leastRetries = 2, windowMillis = 10_000)
+            val settings = RetrySettings(retryRatio = 0.1, minRetries = 2, windowMillis = 10_000)
             val budget = RetryBudget(settings) { nowMillis }
-            repeat(case.requests) { budget.requested() }
+            repeat(case.requests) { budget.recordRequest() }
             nowMillis += case.laterMillis
-            expectThat((1..50).count { budget.tryRetry() }).isEqualTo(case.granted)
+            expectThat((1..50).count { budget.tryAcquire() }).isEqualTo(case.granted)
         }
     }
 }
