--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/ForeignContent.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/DecodeOrNull.kt
@@ -4,7 +4,7 @@
 package io.carawaytrack.consensus
 
 /** Returns what [decode] reads, or null for content of another form; a CBOR codec throws one of these for it. */
-public inline fun <T : Any> orNullIfForeign(decode: () -> T): T? = try {
+public inline fun <T : Any> decodeOrNull(decode: () -> T): T? = try {
     decode()
 } catch (_: IllegalArgumentException) {
     null
--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/GroupReplica.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/GroupReplica.kt
@@ -133,7 +133,7 @@
         return call { Request.Propose(command, it) }
     }
 
-    override suspend fun confirm(): Result<Unit, Failure> = call { Request.Confirm(it) }.map { }
+    override suspend fun confirmLeadership(): Result<Unit, Failure> = call { Request.Confirm(it) }.map { }
 
     override suspend fun changeMembers(change: MemberChange): Result<Unit, Failure> =
         call { Request.ChangeMembers(change, it) }.map { }
--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/Leader.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/Leader.kt
@@ -46,7 +46,7 @@
     }
 
     /** Returns the time since [node] last answered. */
-    fun silentMillis(node: NodeId): Long = replication.silentMillis(node)
+    fun replyAgeMillis(node: NodeId): Long = replication.replyAgeMillis(node)
 
     fun onProposal(proposal: Input.Propose) {
         val index = append(EntryKind.COMMAND, proposal.command)
--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/Message.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/Message.kt
@@ -5,8 +5,8 @@
 package io.carawaytrack.consensus
 
 import io.carawaytrack.storage.LogEntry
-import io.carawaytrack.storage.sealed
-import io.carawaytrack.storage.unsealed
+import io.carawaytrack.storage.verifiedContent
+import io.carawaytrack.storage.withChecksum
 import kotlinx.serialization.ExperimentalSerializationApi
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
@@ -150,13 +150,13 @@
 
     fun encode(message: Message): ByteArray {
         val envelope = Envelope(clusterId = clusterId, incarnation = incarnation, message = message)
-        return sealed(cbor.encodeToByteArray(envelope))
+        return withChecksum(cbor.encodeToByteArray(envelope))
     }
 
     /** Returns the envelope in [payload], or null when it is damaged or from another version or cluster. */
     fun decode(payload: ByteArray): Envelope? {
-        val content = unsealed(payload) ?: return null
-        return orNullIfForeign { cbor.decodeFromByteArray<Envelope>(ByteArray(content.remaining()).also(content::get)) }
+        val content = verifiedContent(payload) ?: return null
+        return decodeOrNull { cbor.decodeFromByteArray<Envelope>(ByteArray(content.remaining()).also(content::get)) }
             ?.takeIf { it.version == MESSAGE_VERSION && it.clusterId == clusterId }
     }
 }
--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/RaftCore.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/RaftCore.kt
@@ -89,8 +89,8 @@
     }
 
     /** Returns the members, each with the time since this replica heard it if it leads. */
-    fun standings(): List<MemberStanding> = state.members.members.map { member ->
-        MemberStanding(member.node, member.voter, leader?.silentMillis(member.node) ?: 0)
+    fun standings(): List<MemberStatus> = state.members.members.map { member ->
+        MemberStatus(member.node, member.voter, leader?.replyAgeMillis(member.node) ?: 0)
     }
 
     private fun handle(input: Input) = when (input) {
--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/Replica.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/Replica.kt
@@ -26,12 +26,12 @@
 /**
  * Tells how a member of the group stands.
  *
- * @property silentMillis time since the leader last heard it; zero for the leader itself, and on every other replica
+ * @property replyAgeMillis time since the leader last heard it; zero for the leader itself, and on every other replica
  */
-public data class MemberStanding(
+public data class MemberStatus(
     val node: NodeId,
     val voter: Boolean,
-    val silentMillis: Long,
+    val replyAgeMillis: Long,
 )
 
 /** Tells how a replica stands; [members] are those of its own log, committed or not. */
@@ -41,7 +41,7 @@
     val term: Long,
     val commitIndex: Long,
     val appliedIndex: Long,
-    val members: List<MemberStanding> = emptyList(),
+    val members: List<MemberStatus> = emptyList(),
 ) {
     /** Whether this replica believes that it leads. */
     val leading: Boolean get() = leader == node
@@ -61,7 +61,7 @@
      * Confirms with a quorum that this replica still leads and has applied all that was committed before the call.
      * Calls made while a confirmation is under way share the next one. Fails with `NotLeader`.
      */
-    public suspend fun confirm(): Result<Unit, Failure>
+    public suspend fun confirmLeadership(): Result<Unit, Failure>
 
     /** Takes in a message from the replica [from]; a malformed one is dropped. */
     public fun receive(
--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/Replication.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/Replication.kt
@@ -67,7 +67,7 @@
     }
 
     /** Returns the time since [node] last answered; zero for this replica. */
-    fun silentMillis(node: NodeId): Long = peers[node]?.let { nowMillis - it.lastHeardMillis } ?: 0
+    fun replyAgeMillis(node: NodeId): Long = peers[node]?.let { nowMillis - it.lastHeardMillis } ?: 0
 
     /** Takes in a member's answer; returns whether [from] is one. */
     fun onReply(
--- a/consensus/src/test/kotlin/io/carawaytrack/consensus/OpenReplicaTest.kt
+++ b/consensus/src/test/kotlin/io/carawaytrack/consensus/OpenReplicaTest.kt
@@ -40,7 +40,7 @@
             lead(replica)
             val replies = (1..200).map { async { replica.propose("w$it".toByteArray()) } }.awaitAll()
             expectThat(replies.all { it.isOk }).isTrue()
-            expectThat(replica.confirm().isOk).isTrue()
+            expectThat(replica.confirmLeadership().isOk).isTrue()
         }
         val written = machine.applied
         open().use { replica ->
@@ -77,7 +77,7 @@
         val failures =
             listOf(
                 replica.propose("late".toByteArray()).getError(),
-                replica.confirm().getError(),
+                replica.confirmLeadership().getError(),
                 replica.changeMembers(MemberChange.AddLearner(NodeId("c2"))).getError(),
             )
         failures.forEach {
@@ -100,7 +100,7 @@
                 .get { kind to execution }
                 .isEqualTo(ErrorKind.Internal to Execution.MayHaveRun)
             expectThat(halts.poll(10, TimeUnit.SECONDS)?.kind).isEqualTo(ErrorKind.Internal)
-            expectThat(replica.confirm().getError()?.kind).isEqualTo(ErrorKind.Internal)
+            expectThat(replica.confirmLeadership().getError()?.kind).isEqualTo(ErrorKind.Internal)
         }
     }
 
@@ -123,7 +123,7 @@
 
     /** Asks until the replica leads; every call moves the clock on. */
     private suspend fun lead(replica: Replica) {
-        repeat(1_000) { if (replica.confirm().isOk) return }
+        repeat(1_000) { if (replica.confirmLeadership().isOk) return }
         error("expected $node to lead after 1000 calls, found ${replica.status()}")
     }
 }
--- a/consensus/src/test/kotlin/io/carawaytrack/consensus/ReplicationBenchmark.kt
+++ b/consensus/src/test/kotlin/io/carawaytrack/consensus/ReplicationBenchmark.kt
@@ -79,7 +79,7 @@
     }
 
     private suspend fun awaitLeader(): GroupReplica {
-        while (true) replicas.values.firstOrNull { it.confirm().isOk }?.let { return it }
+        while (true) replicas.values.firstOrNull { it.confirmLeadership().isOk }?.let { return it }
     }
 
     private suspend fun measure(
--- a/control/src/main/kotlin/io/carawaytrack/control/AdministrationApi.kt
+++ b/control/src/main/kotlin/io/carawaytrack/control/AdministrationApi.kt
@@ -174,7 +174,7 @@
     private suspend fun <T> ApplicationCall.read(
         serializer: KSerializer<T>,
         read: () -> Result<T, Failure>,
-    ): Unit = answer(serializer) { replica.confirm().andThen { read() } }
+    ): Unit = answer(serializer) { replica.confirmLeadership().andThen { read() } }
 
     private suspend fun <T> ApplicationCall.answer(
         serializer: KSerializer<T>,
--- a/control/src/main/kotlin/io/carawaytrack/control/HolderService.kt
+++ b/control/src/main/kotlin/io/carawaytrack/control/HolderService.kt
@@ -75,7 +75,7 @@
         link: Link,
         heartbeat: Heartbeat,
     ) {
-        replica.confirm().getOrElse {
+        replica.confirmLeadership().getOrElse {
             registry.lead(leading = false)
             link.send(NotLeading(heartbeat.sequence, leaderAddress()))
             return
--- a/control/src/test/kotlin/io/carawaytrack/control/ControlStateTest.kt
+++ b/control/src/test/kotlin/io/carawaytrack/control/ControlStateTest.kt
@@ -144,8 +144,8 @@
         val state = ControlState()
         expectThat(state.begin("r1")).isA<LedgerReply.Started>()
         state.change("a", ConfigurationChange.SetVersion(pen, VersionState.Withdrawn))
-        expectThat(state.begin("r2")).isEqualTo(LedgerReply.VersionGone)
-        expectThat(state.restarted().begin("r3")).isEqualTo(LedgerReply.VersionGone)
+        expectThat(state.begin("r2")).isEqualTo(LedgerReply.VersionUnavailable)
+        expectThat(state.restarted().begin("r3")).isEqualTo(LedgerReply.VersionUnavailable)
         state.change("b", ConfigurationChange.SetVersion(pen, VersionState.Serving))
         expectThat(state.begin("r4")).isA<LedgerReply.Started>()
     }
--- a/control/src/test/kotlin/io/carawaytrack/control/HolderTest.kt
+++ b/control/src/test/kotlin/io/carawaytrack/control/HolderTest.kt
@@ -49,7 +49,8 @@
 ) : Replica {
     override suspend fun propose(command: ByteArray): Result<ByteArray, Failure> = Err(ErrorKind.NotLeader.notRun())
 
-    override suspend fun confirm(): Result<Unit, Failure> = if (leads) Ok(Unit) else Err(ErrorKind.NotLeader.notRun())
+    override suspend fun confirmLeadership(): Result<Unit, Failure> =
+        if (leads) Ok(Unit) else Err(ErrorKind.NotLeader.notRun())
 
     override fun receive(
         from: NodeId,
--- a/entry/src/main/kotlin/io/carawaytrack/entry/RequestHandler.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/RequestHandler.kt
@@ -97,8 +97,8 @@
         val reply = begin(request, plan).getOrElse { return Reply.Refused(request.id, it) }
         return when (reply) {
             is LedgerReply.Started -> start(request, plan, reply)
-            is LedgerReply.Repeated -> Reply.Repeated(reply.request, reply.answer)
-            is LedgerReply.VersionGone -> pin?.let { Reply.Refused(request.id, sessionGone(it)) }
+            is LedgerReply.Replayed -> Reply.Repeated(reply.request, reply.answer)
+            is LedgerReply.VersionUnavailable -> pin?.let { Reply.Refused(request.id, sessionGone(it)) }
             else -> Reply.Refused(request.id, refusal(reply))
         }
     }
@@ -155,7 +155,7 @@
 
     private fun refusal(reply: LedgerReply): Failure = when (reply) {
         is LedgerReply.InProgress -> Failure(ErrorKind.InProgress, Execution.MayHaveRun)
-        is LedgerReply.Unknown -> Failure(ErrorKind.OutcomeUnknown, Execution.MayHaveRun)
+        is LedgerReply.OutcomeUnknown -> Failure(ErrorKind.OutcomeUnknown, Execution.MayHaveRun)
         is LedgerReply.Conflicting -> ErrorKind.ConflictingReuse.notRun()
         else -> ErrorKind.Internal.notRun("expected a reply to an intent")
     }
--- a/ledger/src/main/kotlin/io/carawaytrack/ledger/LedgerMessage.kt
+++ b/ledger/src/main/kotlin/io/carawaytrack/ledger/LedgerMessage.kt
@@ -108,7 +108,7 @@
     /** Returns the outcome of an earlier request under the same key. */
     @Serializable
     @SerialName("r")
-    public data class Repeated(
+    public data class Replayed(
         val request: RequestId,
         val answer: StoredAnswer,
     ) : LedgerReply
@@ -123,7 +123,7 @@
     /** Tells that a request under the same key may have run and must not run again. */
     @Serializable
     @SerialName("u")
-    public data class Unknown(
+    public data class OutcomeUnknown(
         val request: RequestId,
     ) : LedgerReply
 
@@ -135,7 +135,7 @@
     /** Tells that the proposed version may not start new work; the entry plans again. */
     @Serializable
     @SerialName("v")
-    public data object VersionGone : LedgerReply
+    public data object VersionUnavailable : LedgerReply
 
     /** Confirms a record; [first] is false when it was there already. */
     @Serializable
--- a/ledger/src/main/kotlin/io/carawaytrack/ledger/OrganisationLedger.kt
+++ b/ledger/src/main/kotlin/io/carawaytrack/ledger/OrganisationLedger.kt
@@ -41,7 +41,7 @@
         if (earlier != null) return resend(command, earlier, stateOf)
         val pin = command.session?.let(sessions::get)
         val version = pin?.version ?: command.version
-        if (!mayRun(stateOf(version), pinned = pin != null)) return LedgerReply.VersionGone
+        if (!mayRun(stateOf(version), pinned = pin != null)) return LedgerReply.VersionUnavailable
         if (command.session != null && pin == null) {
             sessions[command.session] = SessionPin(command.session, version, command.atMillis)
         }
@@ -63,13 +63,17 @@
         val answer = earlier.answer
         return when {
             !earlier.matches(command) -> LedgerReply.Conflicting
-            answer != null -> LedgerReply.Repeated(earlier.request, answer)
+            answer != null -> LedgerReply.Replayed(earlier.request, answer)
             earlier.request == command.request && !earlier.finished -> started(earlier, command)
-            earlier.finished -> LedgerReply.Unknown(earlier.request)
-            earlier.repeatable && !mayRun(stateOf(earlier.version), command.session != null) -> LedgerReply.VersionGone
+            earlier.finished -> LedgerReply.OutcomeUnknown(earlier.request)
+            earlier.repeatable &&
+                !mayRun(
+                    stateOf(earlier.version),
+                    command.session != null,
+                ) -> LedgerReply.VersionUnavailable
             earlier.repeatable -> share(earlier, command)
             command.atMillis - earlier.beganAtMillis < earlier.timeoutMillis -> LedgerReply.InProgress(earlier.request)
-            else -> LedgerReply.Unknown(earlier.request)
+            else -> LedgerReply.OutcomeUnknown(earlier.request)
         }
     }
 
--- a/ledger/src/test/kotlin/io/carawaytrack/ledger/LedgerTest.kt
+++ b/ledger/src/test/kotlin/io/carawaytrack/ledger/LedgerTest.kt
@@ -85,8 +85,8 @@
 private val first = LedgerReply.Done(first = true)
 private val again = LedgerReply.Done(first = false)
 private val running = LedgerReply.InProgress(RequestId("r1"))
-private val unknown = LedgerReply.Unknown(RequestId("r1"))
-private val repeated = LedgerReply.Repeated(RequestId("r1"), answer)
+private val unknown = LedgerReply.OutcomeUnknown(RequestId("r1"))
+private val repeated = LedgerReply.Replayed(RequestId("r1"), answer)
 private val draining = old to VersionState.Draining
 private val withdrawn = old to VersionState.Withdrawn
 
@@ -171,15 +171,21 @@
                 begin("r1", key = null, session = "s") gets started("r1", pinned = true),
                 (begin("r2", key = null, session = "s", version = new) gets started("r2", pinned = true))
                     .whileStates(draining),
-                (begin("r3", key = null, session = "t") gets LedgerReply.VersionGone).whileStates(draining),
-                (begin("r4", key = null) gets LedgerReply.VersionGone).whileStates(draining),
+                (begin("r3", key = null, session = "t") gets LedgerReply.VersionUnavailable).whileStates(draining),
+                (begin("r4", key = null) gets LedgerReply.VersionUnavailable).whileStates(draining),
             ),
             Scenario(
                 "a withdrawn version gets no intent",
                 begin("r1", session = "s", repeatable = true) gets started("r1", pinned = true),
-                (begin("r2", key = null, session = "s") gets LedgerReply.VersionGone).whileStates(withdrawn),
-                (begin("r3", key = null) gets LedgerReply.VersionGone).whileStates(withdrawn),
-                (begin("r4", session = "s", repeatable = true) gets LedgerReply.VersionGone).whileStates(withdrawn),
+                (begin("r2", key = null, session = "s") gets LedgerReply.VersionUnavailable).whileStates(withdrawn),
+                (begin("r3", key = null) gets LedgerReply.VersionUnavailable).whileStates(withdrawn),
+                (
+                    begin(
+                        "r4",
+                        session = "s",
+                        repeatable = true,
+                    ) gets LedgerReply.VersionUnavailable
+                ).whileStates(withdrawn),
                 (begin("r5", key = null, version = new) gets started("r5", new)).whileStates(withdrawn),
             ),
             Scenario(
--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/CoreMember.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/CoreMember.kt
@@ -153,7 +153,7 @@
     }
 
     /** Confirms that this host leads and has applied all that was committed; [done] is called on any thread. */
-    fun confirm(done: (Result<Unit, Failure>) -> Unit) = call(done) { it.confirm() }
+    fun confirm(done: (Result<Unit, Failure>) -> Unit) = call(done) { it.confirmLeadership() }
 
     /** Takes in that a replica asks to join; [answer] sends it a message. */
     fun joinRequested(
--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/DueChange.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/DueChange.kt
@@ -4,7 +4,7 @@
 package io.carawaytrack.mesh
 
 import io.carawaytrack.consensus.MemberChange
-import io.carawaytrack.consensus.MemberStanding
+import io.carawaytrack.consensus.MemberStatus
 import io.carawaytrack.model.NodeId
 
 /** Silence after which a member gives way to a waiting newcomer, in milliseconds: above the failure detection. */
@@ -24,7 +24,7 @@
  * size: the group bears no fewer losses without it.
  */
 internal fun dueChange(
-    members: List<MemberStanding>,
+    members: List<MemberStatus>,
     joining: Set<NodeId>,
     self: NodeId,
 ): MemberChange? {
@@ -32,23 +32,23 @@
     val learner = members.firstOrNull { !it.voter }
     val others = members.filter { it.node != self }
     val displaced = newcomer?.let { joiner -> others.firstOrNull { addressOf(it.node) == addressOf(joiner) } }
-    val silent = others.maxByOrNull { it.silentMillis }
-    val waiting = newcomer != null || learner?.let { it.silentMillis < REACHABLE_MILLIS } == true
+    val silent = others.maxByOrNull { it.replyAgeMillis }
+    val waiting = newcomer != null || learner?.let { it.replyAgeMillis < REACHABLE_MILLIS } == true
     val voters = members.count { it.voter }
     return when {
         displaced != null -> MemberChange.Remove(displaced.node)
         silent != null && silent.isDueToGo(waiting, voters) -> MemberChange.Remove(silent.node)
-        learner != null -> if (learner.silentMillis < REACHABLE_MILLIS) MemberChange.Promote(learner.node) else null
+        learner != null -> if (learner.replyAgeMillis < REACHABLE_MILLIS) MemberChange.Promote(learner.node) else null
         newcomer != null -> MemberChange.AddLearner(newcomer)
         else -> null
     }
 }
 
-private fun MemberStanding.isDueToGo(
+private fun MemberStatus.isDueToGo(
     newcomerWaits: Boolean,
     voters: Int,
 ): Boolean = when {
-    newcomerWaits -> silentMillis >= REPLACED_AFTER_MILLIS
-    !voter -> silentMillis >= EVEN_GROUP_SILENCE_MILLIS
-    else -> voters % 2 == 0 && voters > 2 && silentMillis >= EVEN_GROUP_SILENCE_MILLIS
+    newcomerWaits -> replyAgeMillis >= REPLACED_AFTER_MILLIS
+    !voter -> replyAgeMillis >= EVEN_GROUP_SILENCE_MILLIS
+    else -> voters % 2 == 0 && voters > 2 && replyAgeMillis >= EVEN_GROUP_SILENCE_MILLIS
 }
--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/MeshMessage.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/MeshMessage.kt
@@ -6,7 +6,7 @@
 
 package io.carawaytrack.mesh
 
-import io.carawaytrack.consensus.orNullIfForeign
+import io.carawaytrack.consensus.decodeOrNull
 import io.carawaytrack.fleet.Departure
 import io.carawaytrack.fleet.FleetUpstream
 import io.carawaytrack.fleet.FleetView
@@ -141,4 +141,4 @@
 
 /** Returns the message in [bytes], or null when another version may have written it. */
 internal fun decodeMeshMessage(bytes: ByteArray): MeshMessage? =
-    orNullIfForeign { meshCbor.decodeFromByteArray<MeshMessage>(bytes) }
+    decodeOrNull { meshCbor.decodeFromByteArray<MeshMessage>(bytes) }
--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/RecentState.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/RecentState.kt
@@ -11,8 +11,8 @@
 import io.carawaytrack.fleet.KnownUpstream
 import io.carawaytrack.model.UpstreamId
 import io.carawaytrack.storage.replaceFile
-import io.carawaytrack.storage.sealed
-import io.carawaytrack.storage.unsealed
+import io.carawaytrack.storage.verifiedContent
+import io.carawaytrack.storage.withChecksum
 import io.carawaytrack.telemetry.event
 import io.github.oshai.kotlinlogging.KotlinLogging
 import io.github.oshai.kotlinlogging.Level
@@ -67,7 +67,7 @@
     recent: Recent,
 ) {
     try {
-        replaceFile(folder, RECENT_FILE, sealed(recentCbor.encodeToByteArray(recent)))
+        replaceFile(folder, RECENT_FILE, withChecksum(recentCbor.encodeToByteArray(recent)))
     } catch (failure: IOException) {
         logger.event("recent_state_not_saved", mapOf("reason" to failure.toString()), Level.WARN)
     }
@@ -82,7 +82,7 @@
 }
 
 private fun decode(bytes: ByteArray): Recent? {
-    val content = unsealed(bytes) ?: return null
+    val content = verifiedContent(bytes) ?: return null
     return try {
         val recent = recentCbor.decodeFromByteArray<Recent>(ByteArray(content.remaining()).also(content::get))
         Recent(recent.view, recent.upstreams.map { it.copy(coldMillis = maxOf(it.coldMillis, DOUBTED_MILLIS)) })
--- a/mesh/src/test/kotlin/io/carawaytrack/mesh/DueChangeTest.kt
+++ b/mesh/src/test/kotlin/io/carawaytrack/mesh/DueChangeTest.kt
@@ -4,7 +4,7 @@
 package io.carawaytrack.mesh
 
 import io.carawaytrack.consensus.MemberChange
-import io.carawaytrack.consensus.MemberStanding
+import io.carawaytrack.consensus.MemberStatus
 import io.carawaytrack.model.NodeId
 import org.junit.jupiter.api.DynamicTest
 import org.junit.jupiter.api.DynamicTest.dynamicTest
@@ -23,16 +23,16 @@
     private fun voter(
         node: NodeId,
         silentMillis: Long = 0,
-    ) = MemberStanding(node, voter = true, silentMillis)
+    ) = MemberStatus(node, voter = true, silentMillis)
 
     private fun learner(
         node: NodeId,
         silentMillis: Long = 0,
-    ) = MemberStanding(node, voter = false, silentMillis)
+    ) = MemberStatus(node, voter = false, silentMillis)
 
     private class Case(
         val name: String,
-        val members: List<MemberStanding>,
+        val members: List<MemberStatus>,
         val joining: Set<NodeId>,
         val change: MemberChange?,
     )
--- a/storage/src/main/kotlin/io/carawaytrack/storage/LogStore.kt
+++ b/storage/src/main/kotlin/io/carawaytrack/storage/LogStore.kt
@@ -92,14 +92,14 @@
         return@onDisk Err(StorageFailure.FolderNotEmpty("expected an empty folder, found ${found.joinToString()}"))
     }
     disk.replace(segmentName(1), ByteArray(0))
-    disk.replace(TERM_FILE, sealed(encodeTerm(TermVote(0, null))))
-    disk.replace(IDENTITY_FILE, sealed(encodeIdentity(identity)))
+    disk.replace(TERM_FILE, withChecksum(encodeTerm(TermVote(0, null))))
+    disk.replace(IDENTITY_FILE, withChecksum(encodeIdentity(identity)))
     Ok(Unit)
 }
 
 /** Returns the identity of the folder on [disk], or null when it was never initialised to the end. */
 public fun folderIdentity(disk: Disk): Result<FolderIdentity?, StorageFailure> = onDisk {
-    Ok(disk.read(IDENTITY_FILE)?.let { decodeIdentity(unsealed(IDENTITY_FILE, it)) })
+    Ok(disk.read(IDENTITY_FILE)?.let { decodeIdentity(verifiedContent(IDENTITY_FILE, it)) })
 }
 
 /** Deletes every file on [disk], the identity first, so that the folder can be initialised under another one. */
@@ -145,7 +145,7 @@
                         "replaced by a learner under a new node identity",
                 ),
             )
-    val identity = decodeIdentity(unsealed(IDENTITY_FILE, content))
+    val identity = decodeIdentity(verifiedContent(IDENTITY_FILE, content))
     if (identity.clusterId == clusterId && identity.node == node) return Ok(identity)
     return Err(
         StorageFailure.WrongIdentity(
@@ -159,12 +159,12 @@
     identity: FolderIdentity,
     segmentBytes: Int,
 ): OpenedLog {
-    val snapshot = disk.read(SNAPSHOT_FILE)?.let { decodeSnapshot(unsealed(SNAPSHOT_FILE, it)) }
+    val snapshot = disk.read(SNAPSHOT_FILE)?.let { decodeSnapshot(verifiedContent(SNAPSHOT_FILE, it)) }
     val termFile = disk.read(TERM_FILE) ?: throw CorruptException("expected the file $TERM_FILE, found none")
     val log = readLog(disk)
     val entries = entriesAfter(snapshot, log.entries)
     val recovered =
-        RecoveredState(identity, decodeTerm(unsealed(TERM_FILE, termFile)), snapshot, entries.orEmpty())
+        RecoveredState(identity, decodeTerm(verifiedContent(TERM_FILE, termFile)), snapshot, entries.orEmpty())
     val store = SegmentedLogStore(disk, log.segments, segmentBytes)
     if (entries == null && snapshot != null) store.dropLog(snapshot)
     return OpenedLog(store, recovered)
@@ -259,18 +259,18 @@
         write(entries)
     }
 
-    override fun saveTerm(termVote: TermVote) = durably { disk.replace(TERM_FILE, sealed(encodeTerm(termVote))) }
+    override fun saveTerm(termVote: TermVote) = durably { disk.replace(TERM_FILE, withChecksum(encodeTerm(termVote))) }
 
     override fun saveSnapshot(
         snapshot: StoredSnapshot,
         firstKeptIndex: Long,
     ) = durably {
-        disk.replace(SNAPSHOT_FILE, sealed(encodeSnapshot(snapshot)))
+        disk.replace(SNAPSHOT_FILE, withChecksum(encodeSnapshot(snapshot)))
         deleteSegments { it.highestIndex < firstKeptIndex }
     }
 
     override fun installSnapshot(snapshot: StoredSnapshot) = durably {
-        disk.replace(SNAPSHOT_FILE, sealed(encodeSnapshot(snapshot)))
+        disk.replace(SNAPSHOT_FILE, withChecksum(encodeSnapshot(snapshot)))
         dropLog(snapshot)
     }
 
--- a/storage/src/main/kotlin/io/carawaytrack/storage/StateFiles.kt
+++ b/storage/src/main/kotlin/io/carawaytrack/storage/StateFiles.kt
@@ -8,24 +8,24 @@
 import java.nio.ByteBuffer
 
 /** Returns [content] behind its checksum. */
-public fun sealed(content: ByteArray): ByteArray = ByteBuffer
+public fun withChecksum(content: ByteArray): ByteArray = ByteBuffer
     .allocate(Long.SIZE_BYTES + content.size)
     .putLong(checksum(content))
     .put(content)
     .array()
 
-/** Returns the content of what [sealed] made, or null when there is none or the checksum doesn't match. */
-public fun unsealed(sealed: ByteArray): ByteBuffer? {
+/** Returns the content of what [withChecksum] made, or null when there is none or the checksum doesn't match. */
+public fun verifiedContent(sealed: ByteArray): ByteBuffer? {
     val contentBytes = sealed.size - Long.SIZE_BYTES
     val whole =
         contentBytes > 0 && ByteBuffer.wrap(sealed).getLong() == checksum(sealed, Long.SIZE_BYTES, contentBytes)
     return if (whole) ByteBuffer.wrap(sealed, Long.SIZE_BYTES, contentBytes) else null
 }
 
-internal fun unsealed(
+internal fun verifiedContent(
     name: String,
     sealed: ByteArray,
-): ByteBuffer = unsealed(sealed)
+): ByteBuffer = verifiedContent(sealed)
     ?: throw CorruptException("expected the checksum of $name to match its ${sealed.size} bytes, found another")
 
 internal fun encodeTerm(termVote: TermVote): ByteArray {
