--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/DecodeOrNull.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/DecodeOrNull.kt
@@ -1,9 +1,9 @@
 /*
- * Content that another version of the program may have written.
+ * Decoding of content that may have been written by another version of the program.
  */
 package io.carawaytrack.consensus
 
-/** Returns what [decode] reads, or null for content of another form; a CBOR codec throws one of these for it. */
+/** Returns the result of [decode], or null if it throws one of the exceptions that CBOR decoding fails with. */
 public inline fun <T : Any> decodeOrNull(decode: () -> T): T? = try {
     decode()
 } catch (_: IllegalArgumentException) {
--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/GroupMembers.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/GroupMembers.kt
@@ -1,6 +1,7 @@
 /*
- * Who belongs to the group that replicates the log. The membership is an entry of the log itself and is in force from
- * the moment it is appended; it changes by one member at a time, so that two quorums in a row always overlap.
+ * The members of the group that replicates the log. The membership is an entry of the log and is in force as soon as it
+ * is appended. Members are changed one at a time, so that a quorum of the old members and a quorum of the new ones
+ * always overlap.
  */
 package io.carawaytrack.consensus
 
@@ -12,25 +13,25 @@
 import kotlinx.serialization.decodeFromByteArray
 import kotlinx.serialization.encodeToByteArray
 
-/** Incarnation of a member that the group has not heard from yet. */
+/** Incarnation of a member that has not replied to a leader yet. */
 internal const val UNKNOWN_INCARNATION: Long = 0
 
-/** Describes one change of the group's members. */
+/** Describes a single-server membership change. */
 public sealed interface MemberChange {
     /** The member that is added, promoted or removed. */
     public val node: NodeId
 
-    /** Adds a replica that receives the log and has no vote. */
+    /** Adds a replica that receives the log but does not vote. */
     public data class AddLearner(
         override val node: NodeId,
     ) : MemberChange
 
-    /** Gives a learner that has caught up its vote. */
+    /** Turns a learner that has caught up into a voter. */
     public data class Promote(
         override val node: NodeId,
     ) : MemberChange
 
-    /** Removes a replica; its node identity must not be used again. */
+    /** Removes a replica; its node identity must not be reused. */
     public data class Remove(
         override val node: NodeId,
     ) : MemberChange
@@ -39,7 +40,8 @@
 /**
  * Describes one member.
  *
- * @property incarnation the incarnation of its data folder once known; votes under any other one do not count
+ * @property incarnation incarnation of the member's data folder once known; messages under any other one are ignored,
+ * unless they come from a leader
  */
 @Serializable
 @SerialName("member")
@@ -63,11 +65,11 @@
 
     fun isVoter(node: NodeId): Boolean = get(node)?.voter == true
 
-    /** Returns whether [nodes] hold a quorum of the voters. */
+    /** Returns whether [nodes] include a quorum of the voters. */
     fun isQuorum(nodes: Collection<NodeId>): Boolean = voters.count { it in nodes } >= quorum && voters.isNotEmpty()
 
-    /** Returns whether [node] has been known under another incarnation than [incarnation]. */
-    fun contradicts(
+    /** Returns whether [node] is known with an incarnation other than [incarnation]. */
+    fun hasOtherIncarnation(
         node: NodeId,
         incarnation: Long,
     ): Boolean = get(node)?.incarnation.let { it != null && it != UNKNOWN_INCARNATION && it != incarnation }
@@ -78,10 +80,10 @@
         is MemberChange.Remove -> GroupMembers(members.filter { it.node != change.node })
     }
 
-    /** Returns these members with the incarnations in [heard] set where none was known. */
-    fun withIncarnations(heard: Map<NodeId, Long>): GroupMembers = GroupMembers(
+    /** Returns these members with unknown incarnations filled in from [observed]. */
+    fun withIncarnations(observed: Map<NodeId, Long>): GroupMembers = GroupMembers(
         members.map { member ->
-            val incarnation = heard[member.node]
+            val incarnation = observed[member.node]
             val unknown = member.incarnation == UNKNOWN_INCARNATION
             if (unknown && incarnation != null) member.copy(incarnation = incarnation) else member
         },
--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/GroupReplica.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/GroupReplica.kt
@@ -1,6 +1,6 @@
 /*
- * A replica with its thread. Calls and messages go into one bounded queue; the thread takes all that has gathered,
- * carries it out with one sync, and answers. Nothing else touches the state of the replica.
+ * A replica that runs on its own thread. Calls and messages go into one bounded queue; the thread processes everything
+ * queued as one batch with a single sync, and then completes the calls. No other thread accesses the replica's state.
  */
 package io.carawaytrack.consensus
 
@@ -21,26 +21,26 @@
 import kotlin.concurrent.thread
 import kotlin.random.Random
 
-private const val DEFAULT_PART_BYTES = 256 * 1024
+private const val DEFAULT_MAX_PAYLOAD_BYTES = 256 * 1024
 private const val DEFAULT_SNAPSHOT_EVERY_BYTES = 16L * 1024 * 1024
 private const val DEFAULT_KEPT_BYTES = 4L * 1024 * 1024
 
 /**
- * Sets how a replica behaves; all replicas of a group should use the same values.
+ * Settings of a replica; all replicas of a group should use the same values.
  *
- * @property electionTimeoutMillis silence of the leader after which another is elected, and silence of the quorum after
- * which a leader stops leading
- * @property heartbeatMillis longest time between two messages of a leader to each member
- * @property snapshotEveryEntries entries applied between two snapshots
- * @property snapshotEveryBytes bytes of commands applied between two snapshots; bounds the log in memory
- * @property keptEntries entries kept before a snapshot for members that lag a little
- * @property keptBytes bound on the bytes of those entries
- * @property maxBatchBytes bound on the entries of one message
- * @property maxCommandBytes bound on one command
- * @property snapshotChunkBytes bound on the part of a snapshot in one message
- * @property maxInFlight messages with entries that may wait for one member's answer
- * @property promotionLagEntries entries by which a learner may lag and still be promoted
- * @property maxQueued calls and messages that may wait for the replica's thread
+ * @property electionTimeoutMillis time without a message from the leader after which a follower starts an election, and
+ * time without replies from a quorum after which a leader steps down
+ * @property heartbeatMillis maximum time between two messages of a leader to each member
+ * @property snapshotEveryEntries number of entries applied between two snapshots
+ * @property snapshotEveryBytes bytes of commands applied between two snapshots; limits the size of the log in memory
+ * @property keptEntries number of entries before a snapshot to retain, so that members slightly behind need no snapshot
+ * @property keptBytes maximum total size of those entries
+ * @property maxBatchBytes maximum size of the entries in one message
+ * @property maxCommandBytes maximum size of a command
+ * @property snapshotChunkBytes maximum size of the chunk of a snapshot in one message
+ * @property maxInFlight maximum number of unacknowledged messages with entries to each member
+ * @property promotionLagEntries number of entries by which a learner may lag and still be promoted
+ * @property maxQueued maximum number of calls and messages in the queue of the replica's thread
  */
 public data class ReplicaSettings(
     val electionTimeoutMillis: Long = 1_000,
@@ -49,18 +49,18 @@
     val snapshotEveryBytes: Long = DEFAULT_SNAPSHOT_EVERY_BYTES,
     val keptEntries: Int = 1_000,
     val keptBytes: Long = DEFAULT_KEPT_BYTES,
-    val maxBatchBytes: Int = DEFAULT_PART_BYTES,
-    val maxCommandBytes: Int = DEFAULT_PART_BYTES,
-    val snapshotChunkBytes: Int = DEFAULT_PART_BYTES,
+    val maxBatchBytes: Int = DEFAULT_MAX_PAYLOAD_BYTES,
+    val maxCommandBytes: Int = DEFAULT_MAX_PAYLOAD_BYTES,
+    val snapshotChunkBytes: Int = DEFAULT_MAX_PAYLOAD_BYTES,
     val maxInFlight: Int = 8,
     val promotionLagEntries: Long = 16,
     val maxQueued: Int = 16_384,
 )
 
 /**
- * Names a replica and the group that it belongs to.
+ * Identifies a replica and its group.
  *
- * @property initialMembers the voters that a new group starts with; empty for a replica that joins a running group
+ * @property initialMembers initial voters of a new group; empty for a replica that joins an existing group
  */
 public data class ReplicaGroup(
     val clusterId: String,
@@ -68,14 +68,14 @@
     val initialMembers: List<NodeId>,
 )
 
-/** Replicates commands over a group whose members can be changed while it serves. */
+/** Replicates commands across a group whose members can be changed at run time. */
 public interface GroupReplica : Replica {
     /**
-     * Commits [change] of the group's members, one at a time.
+     * Commits [change] to the members of the group; only one change can be in progress.
      *
-     * Fails with `NotLeader`, with `InProgress` while another change is under way or a learner to promote lags, with
-     * `NotFound` or `VersionConflict` when the change doesn't fit the members, and with `ControlUnavailable` and
-     * `MayHaveRun` when leadership was lost while it was under way.
+     * Fails with `NotLeader`, with `InProgress` while another change is in progress or the learner to promote lags
+     * behind or is unreachable, with `NotFound` or `VersionConflict` if the change does not apply to the current
+     * members, and with `ControlUnavailable` and `MayHaveRun` if leadership was lost while the call was in progress.
      */
     public suspend fun changeMembers(change: MemberChange): Result<Unit, Failure>
 }
@@ -83,13 +83,14 @@
 /**
  * Opens one replica of [group] and starts its thread.
  *
- * Fails with `StorageFailed` when [disk] was not initialised for this node or can't be read; [disk] then stays open.
+ * Fails with `StorageFailed` if [disk] was not initialised for this node or can't be read; [disk] then stays open.
  *
- * @param stateMachine in its first state; a snapshot and the log after it are played into it again
- * @param send hands a message of at most 512 KiB to the network; must neither block nor throw, and may lose, delay,
- * repeat or reorder it
- * @param onHalt learns why the replica has stopped for good: `ShuttingDown` after a close, `StorageFailed` when the
- * disk refused a call, else `Internal`
+ * @param stateMachine a state machine in its initial state; the latest snapshot is restored into it and the entries
+ * after the snapshot are applied again
+ * @param send sends a message of at most 512 KiB; must neither block nor throw, and may lose, delay, duplicate or
+ * reorder messages
+ * @param onHalt called when the replica has stopped permanently, with `ShuttingDown` after a close, `StorageFailed`
+ * after a disk failure and `Internal` otherwise
  */
 public fun openReplica(
     group: ReplicaGroup,
@@ -107,7 +108,7 @@
         ThreadedReplica(ReplicaDriver(core, opened.store, stateMachine, codec, send, nowMillis, onHalt), settings)
     }.mapError { ErrorKind.StorageFailed.notRun(it.detail) }
 
-private const val MAX_TAKEN = 4_096
+private const val MAX_REQUESTS_PER_BATCH = 4_096
 private const val TICKS_PER_HEARTBEAT = 4
 
 private class ThreadedReplica(
@@ -120,11 +121,11 @@
     private var closing = false
 
     @Volatile
-    private var finished: ErrorKind? = null
+    private var stopReason: ErrorKind? = null
     private val worker = thread(start = false, name = "replica-${driver.status.node}", isDaemon = true) { run() }
 
     init {
-        worker.setUncaughtExceptionHandler { _, thrown -> stop(ErrorKind.Internal, "the thread threw $thrown") }
+        worker.setUncaughtExceptionHandler { _, thrown -> stop(ErrorKind.Internal, "the thread failed with $thrown") }
         worker.start()
     }
 
@@ -142,7 +143,7 @@
         from: NodeId,
         payload: ByteArray,
     ) {
-        if (finished == null && queue.size < settings.maxQueued) queue += Request.Receive(from, payload)
+        if (stopReason == null && queue.size < settings.maxQueued) queue += Request.Receive(from, payload)
     }
 
     override fun status(): ReplicaStatus = driver.status
@@ -153,21 +154,21 @@
         if (Thread.currentThread() != worker) worker.join()
     }
 
-    private suspend fun call(request: (Answer) -> Request): Result<ByteArray, Failure> {
-        if (queue.size >= settings.maxQueued) return Err(overloaded())
-        val answer = CompletableDeferred<Result<ByteArray, Failure>>()
-        queue += request { answer.complete(it) }
-        finished?.let(::refuseQueued)
-        return answer.await()
+    private suspend fun call(request: (ResultCallback) -> Request): Result<ByteArray, Failure> {
+        if (queue.size >= settings.maxQueued) return Err(queueFull())
+        val result = CompletableDeferred<Result<ByteArray, Failure>>()
+        queue += request { result.complete(it) }
+        stopReason?.let(::refuseQueued)
+        return result.await()
     }
 
     private fun run() {
-        val taken = ArrayList<Request>()
+        val batch = ArrayList<Request>()
         while (!closing) {
-            queue.poll(settings.heartbeatMillis / TICKS_PER_HEARTBEAT, TimeUnit.MILLISECONDS)?.let(taken::add)
-            queue.drainTo(taken, MAX_TAKEN)
-            driver.turn(taken + Request.Tick)
-            taken.clear()
+            queue.poll(settings.heartbeatMillis / TICKS_PER_HEARTBEAT, TimeUnit.MILLISECONDS)?.let(batch::add)
+            queue.drainTo(batch, MAX_REQUESTS_PER_BATCH)
+            driver.process(batch + Request.Tick)
+            batch.clear()
         }
         stop(ErrorKind.ShuttingDown)
     }
@@ -179,7 +180,7 @@
         try {
             driver.close(kind, detail)
         } finally {
-            finished = kind
+            stopReason = kind
             refuseQueued(kind)
         }
     }
@@ -188,8 +189,9 @@
         while (true) (queue.poll() ?: return).refuse(kind.notRun())
     }
 
-    private fun overloaded() =
-        ErrorKind.ControlUnavailable.notRun("expected fewer than ${settings.maxQueued} queued calls, found as many")
+    private fun queueFull() = ErrorKind.ControlUnavailable.notRun(
+        "expected fewer than ${settings.maxQueued} queued calls and messages, the queue is full",
+    )
 
     private fun tooLarge(commandBytes: Int) = Failure(
         ErrorKind.BodyTooLarge,
--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/Leader.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/Leader.kt
@@ -1,6 +1,6 @@
 /*
- * One term of leadership: what is committed, rounds that confirm the leadership, and changes of the members. An
- * instance is made when an election is won and dropped when the leadership is lost.
+ * The leader role within one term: advancing the commit index, confirming leadership for linearizable reads, and
+ * changing the members. An instance is created when an election is won and discarded when leadership is lost.
  */
 package io.carawaytrack.consensus
 
@@ -16,36 +16,36 @@
 ) {
     private val log get() = state.log
     private val replication = Replication(state, nowMillis)
-    private val heardIncarnations = hashMapOf(state.node to state.incarnation)
+    private val observedIncarnations = hashMapOf(state.node to state.incarnation)
     private val firstIndex = log.lastIndex + 1
-    private var confirming = ArrayList<CallId>()
-    private var waiting = ArrayList<CallId>()
+    private var pendingConfirmations = ArrayList<CallId>()
+    private var queuedConfirmations = ArrayList<CallId>()
 
     init {
-        replication.followMembers()
+        replication.updatePeers()
         append(EntryKind.NO_OPERATION, ByteArray(0))
     }
 
-    /** Whether an entry of this term is committed, so that the commit index is known to hold all earlier terms'. */
-    private val established get() = state.commitIndex >= firstIndex
+    /** Whether an entry of this term is committed, so that the commit index covers all commits of earlier terms. */
+    private val hasCommittedInTerm get() = state.commitIndex >= firstIndex
 
-    private val membersUnsettled get() = log.membersIndex > state.commitIndex
+    private val isMemberChangePending get() = log.membersIndex > state.commitIndex
 
-    /** Whether this replica has been removed by a committed change. */
-    val removed: Boolean get() = !membersUnsettled && !state.members.isVoter(state.node)
+    /** Whether a committed membership change has removed this replica. */
+    val removed: Boolean get() = !isMemberChangePending && !state.members.isVoter(state.node)
 
     fun onTick(nowMillis: Long) {
         replication.nowMillis = nowMillis
         replication.sendDueHeartbeats()
     }
 
-    /** Returns whether a quorum has answered within the last election timeout. */
-    fun hearsQuorum(nowMillis: Long): Boolean {
+    /** Returns whether a quorum has replied within the last election timeout. */
+    fun isQuorumActive(nowMillis: Long): Boolean {
         replication.nowMillis = nowMillis
-        return state.members.isQuorum(replication.heard())
+        return state.members.isQuorum(replication.activeMembers())
     }
 
-    /** Returns the time since [node] last answered. */
+    /** Returns the time since the last reply of [node]. */
     fun replyAgeMillis(node: NodeId): Long = replication.replyAgeMillis(node)
 
     fun onProposal(proposal: Input.Propose) {
@@ -53,12 +53,12 @@
         state.effects.accepted += Accepted(proposal.call, index, state.term)
     }
 
-    /** Sends what has been appended since the last call to every member that may be sent more. */
+    /** Sends unsent entries to every member that has not reached its limit of messages in flight. */
     fun sendEntries() = replication.sendEntries()
 
     fun onConfirm(call: CallId) {
-        waiting += call
-        startRound()
+        queuedConfirmations += call
+        startConfirmationRound()
     }
 
     fun onChange(
@@ -69,7 +69,7 @@
         if (refusal != null) return state.refuse(call, refusal)
         val index = append(EntryKind.MEMBERS, state.members.apply(change).encode())
         state.effects.accepted += Accepted(call, index, state.term)
-        replication.followMembers()
+        replication.updatePeers()
     }
 
     fun onReply(
@@ -80,22 +80,22 @@
     ) {
         replication.nowMillis = nowMillis
         if (!replication.onReply(from, reply)) return
-        heardIncarnations[from] = incarnation
+        observedIncarnations[from] = incarnation
         advance()
     }
 
-    /** Commits what a quorum holds durably and does what was waiting for it. */
+    /** Advances the commit index to what is durable on a quorum, and continues work that depends on it. */
     fun advance() {
         val matches = state.members.voters.map(replication::matchIndexOf)
         val quorumIndex = matches.sortedDescending().getOrNull(state.members.quorum - 1) ?: return
-        // An entry of an earlier term may still be replaced although a quorum holds it.
+        // An entry of an earlier term may still be overwritten, even if it is stored on a quorum (Raft paper, 5.4.2).
         if (quorumIndex > state.commitIndex && log.termAt(quorumIndex) == state.term) state.commitTo(quorumIndex)
         recordIncarnations()
-        finishRound()
+        finishConfirmationRound()
     }
 
-    /** Refuses the confirmations that are under way, because the leadership is lost. */
-    fun close() = (confirming + waiting).forEach { state.refuse(it, notLeader(state)) }
+    /** Refuses all pending and queued confirmations, because leadership is lost. */
+    fun close() = (pendingConfirmations + queuedConfirmations).forEach { state.refuse(it, notLeader(state)) }
 
     private fun append(
         kind: Byte,
@@ -106,41 +106,41 @@
         return entry.index
     }
 
-    private fun startRound() {
-        if (confirming.isNotEmpty() || waiting.isEmpty() || !established) return
+    private fun startConfirmationRound() {
+        if (pendingConfirmations.isNotEmpty() || queuedConfirmations.isEmpty() || !hasCommittedInTerm) return
         replication.round++
-        confirming = waiting
-        waiting = ArrayList()
+        pendingConfirmations = queuedConfirmations
+        queuedConfirmations = ArrayList()
         replication.sendHeartbeats()
-        finishRound()
+        finishConfirmationRound()
     }
 
-    private fun finishRound() {
-        val answered = replication.answered(replication.round)
-        if (confirming.isNotEmpty() && state.members.isQuorum(answered)) {
-            state.effects.confirmed += confirming
-            confirming = ArrayList()
+    private fun finishConfirmationRound() {
+        val acknowledged = replication.membersAcknowledging(replication.round)
+        if (pendingConfirmations.isNotEmpty() && state.members.isQuorum(acknowledged)) {
+            state.effects.confirmed += pendingConfirmations
+            pendingConfirmations = ArrayList()
         }
-        startRound()
+        startConfirmationRound()
     }
 
-    /** Binds each member to the data folder that it first answered from. */
+    /** Records the incarnation of each member's data folder when it is seen for the first time. */
     private fun recordIncarnations() {
-        if (!established || membersUnsettled) return
-        val bound = state.members.withIncarnations(heardIncarnations)
-        if (bound == state.members) return
-        append(EntryKind.MEMBERS, bound.encode())
+        if (!hasCommittedInTerm || isMemberChangePending) return
+        val updated = state.members.withIncarnations(observedIncarnations)
+        if (updated == state.members) return
+        append(EntryKind.MEMBERS, updated.encode())
     }
 
     private fun refusalOf(change: MemberChange): Failure? = when {
-        !established || membersUnsettled ->
-            ErrorKind.InProgress.notRun("expected the members to be settled, found a change under way")
+        !hasCommittedInTerm || isMemberChangePending ->
+            ErrorKind.InProgress.notRun("expected no other membership change in progress, found an uncommitted one")
         change is MemberChange.AddLearner ->
-            if (state.members[change.node] == null) null else conflict("${change.node} is a member already")
+            if (state.members[change.node] == null) null else conflict("${change.node} is already a member")
         state.members[change.node] == null ->
-            ErrorKind.NotFound.notRun("expected ${change.node} among the members, found none of that name")
+            ErrorKind.NotFound.notRun("expected a member of the group, but ${change.node} is not a member")
         change is MemberChange.Promote -> refusalOfPromotion(change.node)
-        state.members.voters == listOf(change.node) -> conflict("${change.node} is the last voter")
+        state.members.voters == listOf(change.node) -> conflict("${change.node} is the last voter and can't be removed")
         else -> null
     }
 
@@ -148,10 +148,11 @@
         val matchIndex = replication.matchIndexOf(node)
         val lagging = state.commitIndex - matchIndex > state.settings.promotionLagEntries
         return when {
-            state.members.isVoter(node) -> conflict("$node is a voter already")
-            lagging || node !in replication.heard() ->
+            state.members.isVoter(node) -> conflict("$node is already a voter")
+            lagging || node !in replication.activeMembers() ->
                 ErrorKind.InProgress.notRun(
-                    "expected $node to hold the log up to ${state.commitIndex}, got $matchIndex",
+                    "expected $node to be reachable and to have replicated the log up to index " +
+                        "${state.commitIndex}, it has replicated index $matchIndex",
                 )
             else -> null
         }
@@ -160,6 +161,6 @@
     private fun conflict(detail: String) = ErrorKind.VersionConflict.notRun(detail)
 }
 
-/** Names the leader as far as it is known. */
+/** Describes the refusal by a replica that is not the leader; names the leader if it is known. */
 internal fun notLeader(state: RaftState): Failure =
     ErrorKind.NotLeader.notRun("${state.node} does not lead; the leader of term ${state.term} is ${state.leader}")
--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/Message.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/Message.kt
@@ -1,6 +1,6 @@
 /*
- * The messages between the replicas of a group, as CBOR after a checksum. Every message stays under half a mebibyte:
- * batches of entries are cut by size and snapshots travel in chunks.
+ * The messages between the replicas of a group, encoded as CBOR with a leading checksum. A message is smaller than
+ * 512 KiB, because batches of entries are limited in size and snapshots are sent in chunks.
  */
 package io.carawaytrack.consensus
 
@@ -16,7 +16,7 @@
 
 private const val MESSAGE_VERSION = 1
 
-/** Wraps a message with what tells a stranger apart: another version, another cluster, another data folder. */
+/** Wraps a message with the fields that reveal a sender of another version, another cluster or another data folder. */
 @Serializable
 internal data class Envelope(
     val version: Int = MESSAGE_VERSION,
@@ -25,13 +25,13 @@
     val message: Message,
 )
 
-/** Carries the sender's term in every message. */
+/** A message between replicas, which always carries the sender's term. */
 @Serializable
 internal sealed interface Message {
     val term: Long
 }
 
-/** Asks whether the receiver would vote for the sender in the term after its own. */
+/** Asks whether the receiver would vote for the sender in the term after [term]. */
 @Serializable
 @SerialName("pre-vote?")
 internal data class PreVoteRequest(
@@ -63,21 +63,21 @@
     val granted: Boolean,
 ) : Message
 
-/** Marks what only the leader of a term sends. */
+/** A message that only the leader of a term sends. */
 @Serializable
 internal sealed interface LeaderMessage : Message {
-    /** The newest round of confirmation that the leader has begun. */
+    /** Number of the latest confirmation round that the leader has started. */
     val round: Long
 }
 
-/** Marks what a replica answers to its leader. */
+/** A reply of a replica to its leader. */
 @Serializable
 internal sealed interface FollowerMessage : Message {
-    /** The round that the answered message carried. */
+    /** Confirmation round of the message that is replied to. */
     val round: Long
 }
 
-/** Appends [entries] after the entry at [previousIndex]; empty for a heartbeat. */
+/** Appends [entries] after the entry at [previousIndex]; a heartbeat has no entries. */
 @Serializable
 @SerialName("append?")
 internal data class AppendRequest(
@@ -100,10 +100,10 @@
 }
 
 /**
- * Answers an append or a completed snapshot.
+ * Replies to an append request or to the last chunk of a snapshot.
  *
- * @property index where accepted, the last index known to be equal to the leader's; else the rejected previous index
- * @property nextIndex where rejected, the index from which the leader should go on
+ * @property index if accepted, the last index known to match the leader's log; otherwise the rejected previous index
+ * @property nextIndex if rejected, the index of the entry that the leader should send next
  */
 @Serializable
 @SerialName("append")
@@ -115,7 +115,7 @@
     val nextIndex: Long = 0,
 ) : FollowerMessage
 
-/** Carries the part of a snapshot's state that begins at [offsetBytes]. */
+/** Carries the chunk of a snapshot's state that starts at [offsetBytes]. */
 @Serializable
 @SerialName("snapshot?")
 internal class SnapshotChunk(
@@ -130,7 +130,7 @@
     val bytes: ByteArray,
 ) : LeaderMessage
 
-/** Tells how much of the snapshot at [index] has arrived. */
+/** Reports how many bytes of the snapshot at [index] have arrived. */
 @Serializable
 @SerialName("snapshot")
 internal data class SnapshotReply(
@@ -140,7 +140,7 @@
     val receivedBytes: Int,
 ) : FollowerMessage
 
-/** Encodes and decodes envelopes of one cluster. */
+/** Encodes and decodes the messages of one cluster. */
 @OptIn(ExperimentalSerializationApi::class)
 internal class MessageCodec(
     private val clusterId: String,
@@ -153,7 +153,7 @@
         return withChecksum(cbor.encodeToByteArray(envelope))
     }
 
-    /** Returns the envelope in [payload], or null when it is damaged or from another version or cluster. */
+    /** Returns the envelope in [payload], or null if it is damaged or comes from another version or cluster. */
     fun decode(payload: ByteArray): Envelope? {
         val content = verifiedContent(payload) ?: return null
         return decodeOrNull { cbor.decodeFromByteArray<Envelope>(ByteArray(content.remaining()).also(content::get)) }
--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/RaftCore.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/RaftCore.kt
@@ -1,10 +1,11 @@
 /*
- * The replicated log as a pure function: inputs in, effects out, with no clock, disk, socket or randomness of its own.
- * This file holds the terms and elections; what a leader and a follower do within a term stands beside it.
+ * The Raft state machine of one replica. It takes inputs and returns effects, and has no clock, disk, socket or source
+ * of randomness of its own. This file implements terms and elections; `Leader.kt` and `Follower.kt` implement the two
+ * roles within a term.
  *
- * Before a replica asks for votes it asks whether it would get them, so that one that was cut off does not disturb the
- * group on its return. A replica that hears its leader answers no election, and a leader that hears no quorum for an
- * election timeout stops leading.
+ * A replica runs a pre-vote before it starts an election, so that one returning from a network partition does not force
+ * the group into a new term. A replica that is in contact with its leader ignores vote requests, and a leader that has
+ * no contact with a quorum for an election timeout steps down.
  */
 package io.carawaytrack.consensus
 
@@ -12,9 +13,9 @@
 import io.carawaytrack.storage.RecoveredState
 import kotlin.random.Random
 
-/** Tells the core what has happened. */
+/** An event that [RaftCore] reacts to. */
 internal sealed interface Input {
-    /** Time has passed. */
+    /** Triggers election and heartbeat timers that are due. */
     data object Tick : Input
 
     class Received(
@@ -28,6 +29,7 @@
         val command: ByteArray,
     ) : Input
 
+    /** Requests a leadership confirmation for a linearizable read. */
     class Confirm(
         val call: CallId,
     ) : Input
@@ -37,12 +39,12 @@
         val change: MemberChange,
     ) : Input
 
-    /** The log up to [index] has become durable. */
+    /** Reports that the local log is durable up to [index]. */
     class Persisted(
         val index: Long,
     ) : Input
 
-    /** The state after applying [index] is [state]. */
+    /** Provides the serialized [state] of the state machine after applying [index]. */
     class SnapshotTaken(
         val index: Long,
         val state: ByteArray,
@@ -59,24 +61,27 @@
     val state = RaftState(group, settings, recovered)
     private val follower = Follower(state)
     private var leader: Leader? = null
-    private var candidacy: Candidacy? = null
-    private var electionAtMillis = 0L
-
-    /** When the leader was last heard; a replica that has just started may have heard it a moment before. */
-    private var leaderHeardMillis = nowMillis
-
-    /** Holds the answers of an election; [preliminary] while it only asks whether votes would be granted. */
-    private class Candidacy(
-        val preliminary: Boolean,
+    private var election: Election? = null
+    private var electionDeadlineMillis = 0L
+
+    /**
+     * Time of the last message from the leader. Starts at the current time, because the replica may have been in
+     * contact with its leader just before it restarted.
+     */
+    private var lastLeaderMessageMillis = nowMillis
+
+    /** Collects the votes of an election, or of the pre-vote that precedes it if [preVote] is set. */
+    private class Election(
+        val preVote: Boolean,
     ) {
         val granted = HashSet<NodeId>()
     }
 
     init {
-        postponeElection()
+        resetElectionDeadline()
     }
 
-    /** Takes in [inputs] that arrived together and returns what to do about them. */
+    /** Handles [inputs] as one batch and returns the resulting effects. */
     fun step(
         inputs: List<Input>,
         now: Long,
@@ -88,8 +93,8 @@
         return state.takeEffects()
     }
 
-    /** Returns the members, each with the time since this replica heard it if it leads. */
-    fun standings(): List<MemberStatus> = state.members.members.map { member ->
+    /** Returns the members, each with the time since its last reply if this replica is the leader. */
+    fun memberStatuses(): List<MemberStatus> = state.members.members.map { member ->
         MemberStatus(member.node, member.voter, leader?.replyAgeMillis(member.node) ?: 0)
     }
 
@@ -112,28 +117,28 @@
     private fun onTick() {
         val leading = leader
         when {
-            leading == null -> if (nowMillis >= electionAtMillis) startElection(preliminary = true)
-            leading.hearsQuorum(nowMillis) -> leading.onTick(nowMillis)
+            leading == null -> if (nowMillis >= electionDeadlineMillis) startElection(preVote = true)
+            leading.isQuorumActive(nowMillis) -> leading.onTick(nowMillis)
             else -> stepDown()
         }
     }
 
     private fun onReceived(input: Input.Received) {
         val message = input.message
-        if (message !is LeaderMessage && state.members.contradicts(input.from, input.incarnation)) return
+        if (message !is LeaderMessage && state.members.hasOtherIncarnation(input.from, input.incarnation)) return
         when (message) {
             is PreVoteRequest -> onPreVoteRequest(input.from, message)
             is PreVoteReply -> onPreVoteReply(input.from, message)
-            is VoteRequest -> if (!hearsLeader()) onVoteRequest(input.from, message)
-            is VoteReply -> if (isCurrent(message)) onVoteReply(input.from, message)
+            is VoteRequest -> if (!isLeaderActive()) onVoteRequest(input.from, message)
+            is VoteReply -> if (acceptsTerm(message)) onVoteReply(input.from, message)
             is LeaderMessage -> onLeaderMessage(input.from, message)
             is FollowerMessage ->
-                if (isCurrent(message)) leader?.onReply(input.from, input.incarnation, message, nowMillis)
+                if (acceptsTerm(message)) leader?.onReply(input.from, input.incarnation, message, nowMillis)
         }
     }
 
-    /** Follows a higher term in [message]; returns whether the message belongs to the term that is then current. */
-    private fun isCurrent(message: Message): Boolean {
+    /** Adopts the term of [message] if it is higher; returns whether the message then belongs to the current term. */
+    private fun acceptsTerm(message: Message): Boolean {
         if (message.term > state.term) {
             stepDown()
             state.enterTerm(message.term)
@@ -145,19 +150,19 @@
         from: NodeId,
         message: LeaderMessage,
     ) {
-        if (!isCurrent(message)) {
-            // The answer's higher term makes a leader of an earlier term step down.
-            state.send(from, AppendReply(state.term, message.round, accepted = false, index = 0))
+        if (!acceptsTerm(message)) {
+            // The higher term in the reply makes a leader of an earlier term step down.
+            state.sendAfterPersist(from, AppendReply(state.term, message.round, accepted = false, index = 0))
             return
         }
-        check(leader == null) { "expected one leader in term ${state.term}, found ${state.node} and $from" }
-        candidacy = null
+        check(leader == null) { "expected a single leader in term ${state.term}, got ${state.node} and $from" }
+        election = null
         state.leader = from
-        leaderHeardMillis = nowMillis
-        postponeElection()
+        lastLeaderMessageMillis = nowMillis
+        resetElectionDeadline()
         when (message) {
             is AppendRequest -> follower.onAppend(from, message)
-            is SnapshotChunk -> follower.onChunk(from, message)
+            is SnapshotChunk -> follower.onSnapshotChunk(from, message)
         }
     }
 
@@ -167,8 +172,11 @@
     ) {
         val proposedTerm = request.term + 1
         val granted =
-            proposedTerm > state.term && !hearsLeader() && mayVote() && isUpToDate(request.lastIndex, request.lastTerm)
-        state.send(from, PreVoteReply(state.term, proposedTerm, granted))
+            proposedTerm > state.term &&
+                !isLeaderActive() &&
+                mayVote() &&
+                isUpToDate(request.lastIndex, request.lastTerm)
+        state.sendAfterPersist(from, PreVoteReply(state.term, proposedTerm, granted))
     }
 
     private fun onPreVoteReply(
@@ -176,86 +184,87 @@
         reply: PreVoteReply,
     ) {
         if (reply.term > state.term) {
-            isCurrent(reply)
+            acceptsTerm(reply)
             return
         }
-        val current = candidacy?.takeIf { it.preliminary } ?: return
+        val current = election?.takeIf { it.preVote } ?: return
         if (!reply.granted || reply.proposedTerm != state.term + 1) return
         current.granted += from
-        if (state.members.isQuorum(current.granted)) startElection(preliminary = false)
+        if (state.members.isQuorum(current.granted)) startElection(preVote = false)
     }
 
     private fun onVoteRequest(
         from: NodeId,
         request: VoteRequest,
     ) {
-        val current = isCurrent(request)
-        val free = state.votedFor == null || state.votedFor == from
-        val granted = current && free && mayVote() && isUpToDate(request.lastIndex, request.lastTerm)
+        val current = acceptsTerm(request)
+        val voteAvailable = state.votedFor == null || state.votedFor == from
+        val granted = current && voteAvailable && mayVote() && isUpToDate(request.lastIndex, request.lastTerm)
         if (granted) {
             state.recordVote(from)
-            postponeElection()
+            resetElectionDeadline()
         }
-        state.send(from, VoteReply(state.term, granted))
+        state.sendAfterPersist(from, VoteReply(state.term, granted))
     }
 
     private fun onVoteReply(
         from: NodeId,
         reply: VoteReply,
     ) {
-        val current = candidacy?.takeIf { !it.preliminary } ?: return
+        val current = election?.takeIf { !it.preVote } ?: return
         if (!reply.granted) return
         current.granted += from
-        if (state.members.isQuorum(current.granted)) lead()
+        if (state.members.isQuorum(current.granted)) becomeLeader()
     }
 
-    private fun startElection(preliminary: Boolean) {
-        postponeElection()
+    private fun startElection(preVote: Boolean) {
+        resetElectionDeadline()
         state.leader = null
         if (!mayVote()) return
-        if (!preliminary) state.enterTerm(state.term + 1, vote = state.node)
-        val started = Candidacy(preliminary)
-        candidacy = started
+        if (!preVote) state.enterTerm(state.term + 1, vote = state.node)
+        val started = Election(preVote)
+        election = started
         started.granted += state.node
         when {
-            !state.members.isQuorum(started.granted) -> requestVotes(preliminary)
-            preliminary -> startElection(preliminary = false)
-            else -> lead()
+            !state.members.isQuorum(started.granted) -> requestVotes(preVote)
+            preVote -> startElection(preVote = false)
+            else -> becomeLeader()
         }
     }
 
-    private fun requestVotes(preliminary: Boolean) {
+    private fun requestVotes(preVote: Boolean) {
         val lastIndex = state.log.lastIndex
         val lastTerm = state.log.lastTerm
         val request =
-            if (preliminary) {
+            if (preVote) {
                 PreVoteRequest(state.term, lastIndex, lastTerm)
             } else {
                 VoteRequest(state.term, lastIndex, lastTerm)
             }
-        (state.members.voters - state.node).forEach { state.send(it, request) }
+        (state.members.voters - state.node).forEach { state.sendAfterPersist(it, request) }
     }
 
-    private fun lead() {
-        candidacy = null
+    private fun becomeLeader() {
+        election = null
         state.leader = state.node
         leader = Leader(state, nowMillis)
     }
 
     private fun stepDown() {
-        candidacy = null
+        election = null
         leader?.let {
             leader = null
             state.leader = null
             state.effects.lostLeadership = true
             it.close()
         }
-        postponeElection()
+        resetElectionDeadline()
     }
 
     private fun mayVote() = state.members.isVoter(state.node)
 
-    private fun hearsLeader() = leader != null || nowMillis - leaderHeardMillis < state.settings.electionTimeoutMillis
+    private fun isLeaderActive() =
+        leader != null || nowMillis - lastLeaderMessageMillis < state.settings.electionTimeoutMillis
 
     private fun isUpToDate(
         lastIndex: Long,
@@ -265,8 +274,8 @@
         return lastTerm > ownTerm || (lastTerm == ownTerm && lastIndex >= state.log.lastIndex)
     }
 
-    private fun postponeElection() {
+    private fun resetElectionDeadline() {
         val timeoutMillis = state.settings.electionTimeoutMillis
-        electionAtMillis = nowMillis + timeoutMillis + random.nextLong(timeoutMillis)
+        electionDeadlineMillis = nowMillis + timeoutMillis + random.nextLong(timeoutMillis)
     }
 }
--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/RaftLog.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/RaftLog.kt
@@ -1,16 +1,16 @@
 /*
- * The log of one replica as it stands in memory: the newest snapshot, the entries kept since, and the group members
- * that the entries set.
+ * The in-memory log of one replica: the latest snapshot, the retained entries, and the group membership that follows
+ * from them.
  */
 package io.carawaytrack.consensus
 
 import io.carawaytrack.storage.LogEntry
 import io.carawaytrack.storage.StoredSnapshot
 
-/** Bytes that an entry adds to a message beside its payload, rounded up. */
+/** Upper bound on the encoded size of an entry without its payload. */
 private const val ENTRY_OVERHEAD_BYTES = 64
 
-/** Kinds of [LogEntry], as they stand on disk. */
+/** Values of [LogEntry.kind], as stored on disk. */
 internal object EntryKind {
     const val NO_OPERATION: Byte = 0
     const val COMMAND: Byte = 1
@@ -28,31 +28,31 @@
     )
 
     private val entries = ArrayList<LogEntry>(recovered)
-    private val history = ArrayList<MembersAt>()
+    private val memberHistory = ArrayList<MembersAt>()
 
     var snapshot: StoredSnapshot? = snapshot
         private set
 
-    /** The entry before the first one kept. */
+    /** Index of the entry before the first retained one. */
     var baseIndex: Long = snapshot?.index ?: 0
         private set
     private var baseTerm = snapshot?.term ?: 0
 
     init {
-        history += MembersAt(baseIndex, snapshot?.let { GroupMembers.decode(it.metadata) } ?: initialMembers)
-        recovered.forEach(::noteMembers)
+        memberHistory += MembersAt(baseIndex, snapshot?.let { GroupMembers.decode(it.metadata) } ?: initialMembers)
+        recovered.forEach(::recordMembers)
     }
 
     val lastIndex: Long get() = baseIndex + entries.size
     val lastTerm: Long get() = entries.lastOrNull()?.term ?: baseTerm
 
-    /** The members in force: those of the newest entry that sets them, committed or not. */
-    val members: GroupMembers get() = history.last().members
+    /** The members in force: those of the latest membership entry, committed or not. */
+    val members: GroupMembers get() = memberHistory.last().members
 
-    /** The index of the entry that set [members]. */
-    val membersIndex: Long get() = history.last().index
+    /** Index of the entry that set [members]. */
+    val membersIndex: Long get() = memberHistory.last().index
 
-    /** Returns the term of the entry at [index], or null when the log doesn't hold it. */
+    /** Returns the term of the entry at [index], or null if the log does not contain it. */
     fun termAt(index: Long): Long? = when {
         index == baseIndex -> baseTerm
         index < baseIndex || index > lastIndex -> null
@@ -61,7 +61,7 @@
 
     fun entry(index: Long): LogEntry = entries[(index - baseIndex - 1).toInt()]
 
-    /** Returns entries from [first] on, at least one if there is any, of no more than [maxBytes] together. */
+    /** Returns the entries from [first] on that fit into [maxBytes], and at least one if there is any. */
     fun slice(
         first: Long,
         maxBytes: Int,
@@ -77,18 +77,20 @@
         return slice
     }
 
-    /** Appends [entry] in place of any entry at its index or after. */
+    /** Appends [entry] and truncates any entries at or after its index. */
     fun append(entry: LogEntry) {
-        check(entry.index in baseIndex + 1..lastIndex + 1) { "expected index ${lastIndex + 1}, got ${entry.index}" }
+        check(entry.index in baseIndex + 1..lastIndex + 1) {
+            "expected an index from ${baseIndex + 1} to ${lastIndex + 1}, got ${entry.index}"
+        }
         if (entry.index <= lastIndex) {
             entries.subList((entry.index - baseIndex - 1).toInt(), entries.size).clear()
-            history.removeAll { it.index >= entry.index }
+            memberHistory.removeAll { it.index >= entry.index }
         }
         entries += entry
-        noteMembers(entry)
+        recordMembers(entry)
     }
 
-    /** Returns the lowest index above [floor] from which all entries up to [index] have the term at [index]. */
+    /** Returns the lowest index above [floor] from which all entries up to [index] have the same term as [index]. */
     fun firstOfTerm(
         index: Long,
         floor: Long,
@@ -99,26 +101,29 @@
         return first
     }
 
-    /** Makes a snapshot of [state] at [index] the newest one and drops all entries before it but for the last few. */
+    /**
+     * Creates a snapshot of [state] at [index] and drops the entries that it covers, except for the most recent ones
+     * within the retention limits of [settings].
+     */
     fun compact(
         index: Long,
         state: ByteArray,
         settings: ReplicaSettings,
     ): StoredSnapshot {
-        val members = history.last { it.index <= index }.members
+        val members = memberHistory.last { it.index <= index }.members
         val taken = StoredSnapshot(index, checkNotNull(termAt(index)), members.encode(), state)
-        val newBase = keptBase(index, settings)
+        val newBase = retainedBase(index, settings)
         val newBaseTerm = checkNotNull(termAt(newBase))
         entries.subList(0, (newBase - baseIndex).toInt()).clear()
-        val current = history.last { it.index <= newBase }
-        history.removeAll { it.index < current.index }
+        val current = memberHistory.last { it.index <= newBase }
+        memberHistory.removeAll { it.index < current.index }
         baseIndex = newBase
         baseTerm = newBaseTerm
         snapshot = taken
         return taken
     }
 
-    private fun keptBase(
+    private fun retainedBase(
         index: Long,
         settings: ReplicaSettings,
     ): Long {
@@ -133,17 +138,17 @@
         return base
     }
 
-    /** Makes the log go on after a snapshot made elsewhere. */
+    /** Replaces the log by a snapshot received from the leader. */
     fun install(installed: StoredSnapshot) {
         entries.clear()
-        history.clear()
-        history += MembersAt(installed.index, GroupMembers.decode(installed.metadata))
+        memberHistory.clear()
+        memberHistory += MembersAt(installed.index, GroupMembers.decode(installed.metadata))
         baseIndex = installed.index
         baseTerm = installed.term
         snapshot = installed
     }
 
-    private fun noteMembers(entry: LogEntry) {
-        if (entry.kind == EntryKind.MEMBERS) history += MembersAt(entry.index, GroupMembers.decode(entry.payload))
+    private fun recordMembers(entry: LogEntry) {
+        if (entry.kind == EntryKind.MEMBERS) memberHistory += MembersAt(entry.index, GroupMembers.decode(entry.payload))
     }
 }
--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/RaftState.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/RaftState.kt
@@ -1,7 +1,7 @@
 /*
- * What every role of a replica shares, and the effects that a step asks its driver for. Nothing here touches a disk, a
- * socket or a clock. The driver carries out a step's effects in a fixed order: appends to followers may leave at once,
- * then everything is made durable, and only then do answers and votes leave.
+ * The state shared by all roles of a replica, and the effects that a step requests from its driver. Nothing here
+ * accesses a disk, a socket or a clock. The driver executes the effects of a step in a fixed order: it sends append
+ * requests to followers, persists the changes, and only then sends replies and votes.
  */
 package io.carawaytrack.consensus
 
@@ -12,7 +12,7 @@
 import io.carawaytrack.storage.StoredSnapshot
 import io.carawaytrack.storage.TermVote
 
-/** Identifies one call of a client while it is under way. */
+/** Identifies one pending client call. */
 internal typealias CallId = Long
 
 internal class Outgoing(
@@ -20,7 +20,7 @@
     val message: Message,
 )
 
-/** Tells that the call's entry stands at [index] and waits for its commit. */
+/** Reports that the entry of [call] was appended at [index] and is not committed yet. */
 internal class Accepted(
     val call: CallId,
     val index: Long,
@@ -38,19 +38,19 @@
 )
 
 /**
- * Lists what the driver must do after a step, in the order of the properties.
+ * Lists the actions that the driver must execute after a step, in the order of the properties.
  *
- * @property early messages that hold whether or not this replica's own disk has synced
- * @property late messages that promise what [termVote], [install] and [append] make durable
- * @property lostLeadership whether calls accepted so far will not be answered by this replica
+ * @property beforePersist messages that are valid whether or not the changes of this step are durable
+ * @property afterPersist messages that rely on [termVote], [install] and [append] being durable
+ * @property lostLeadership whether this replica can no longer complete the calls accepted so far
  */
 internal class Effects {
-    val early = ArrayList<Outgoing>()
+    val beforePersist = ArrayList<Outgoing>()
     var termVote: TermVote? = null
     var install: StoredSnapshot? = null
     val append = ArrayList<LogEntry>()
     var taken: TakenSnapshot? = null
-    val late = ArrayList<Outgoing>()
+    val afterPersist = ArrayList<Outgoing>()
     val accepted = ArrayList<Accepted>()
     val committed = ArrayList<LogEntry>()
     val confirmed = ArrayList<CallId>()
@@ -75,7 +75,7 @@
     var commitIndex: Long = log.baseIndex
         private set
 
-    /** The highest index up to which this replica's own log is durable. */
+    /** Highest index up to which the local log is durable. */
     var durableIndex: Long = log.lastIndex
         private set
 
@@ -101,18 +101,18 @@
         effects.termVote = TermVote(term, vote)
     }
 
-    fun sendEarly(
+    fun sendBeforePersist(
         to: NodeId,
         message: Message,
     ) {
-        effects.early += Outgoing(to, message)
+        effects.beforePersist += Outgoing(to, message)
     }
 
-    fun send(
+    fun sendAfterPersist(
         to: NodeId,
         message: Message,
     ) {
-        effects.late += Outgoing(to, message)
+        effects.afterPersist += Outgoing(to, message)
     }
 
     fun refuse(
@@ -123,7 +123,7 @@
     }
 
     fun append(entry: LogEntry) {
-        check(entry.index > commitIndex) { "expected an index above the committed $commitIndex, got ${entry.index}" }
+        check(entry.index > commitIndex) { "expected an index above commit index $commitIndex, got ${entry.index}" }
         log.append(entry)
         durableIndex = minOf(durableIndex, entry.index - 1)
         effects.append += entry
@@ -146,7 +146,7 @@
         effects.taken = TakenSnapshot(snapshot, log.baseIndex + 1)
     }
 
-    /** Replaces the whole log; entries that were to be appended or applied before are part of [snapshot]. */
+    /** Replaces the whole log by [snapshot], which covers all entries still to be appended or applied. */
     fun install(snapshot: StoredSnapshot) {
         log.install(snapshot)
         commitIndex = snapshot.index
--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/Replica.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/Replica.kt
@@ -1,6 +1,5 @@
 /*
- * The narrow interface of the replicated log: what a control host may ask of it, and what it asks of the state machine
- * that it drives.
+ * The public interface of the replicated log, and the interface of the state machine that it applies commands to.
  */
 package io.carawaytrack.consensus
 
@@ -8,25 +7,26 @@
 import io.carawaytrack.model.Failure
 import io.carawaytrack.model.NodeId
 
-/** Applies committed commands in log order; every replica applies the same ones. */
+/** Applies committed commands in log order. All replicas apply the same commands. */
 public interface StateMachine {
-    /** Applies the command committed at [index] and returns its reply; must depend on nothing but state and input. */
+    /** Applies the command committed at [index] and returns its reply. Must be deterministic. */
     public fun apply(
         index: Long,
         command: ByteArray,
     ): ByteArray
 
-    /** Returns the whole state. */
+    /** Returns the complete state in serialized form. */
     public fun snapshot(): ByteArray
 
-    /** Replaces the whole state by a [snapshot] made earlier or elsewhere. */
+    /** Replaces the complete state by a [snapshot] taken earlier or by another replica. */
     public fun restore(snapshot: ByteArray)
 }
 
 /**
- * Tells how a member of the group stands.
+ * Describes the status of one group member.
  *
- * @property replyAgeMillis time since the leader last heard it; zero for the leader itself, and on every other replica
+ * @property replyAgeMillis time since the member's last reply to the leader; zero for the leader itself, and for all
+ * members if this replica is not the leader
  */
 public data class MemberStatus(
     val node: NodeId,
@@ -34,7 +34,7 @@
     val replyAgeMillis: Long,
 )
 
-/** Tells how a replica stands; [members] are those of its own log, committed or not. */
+/** Describes the status of a replica; [members] are those of its own log, committed or not. */
 public data class ReplicaStatus(
     val node: NodeId,
     val leader: NodeId?,
@@ -43,32 +43,33 @@
     val appliedIndex: Long,
     val members: List<MemberStatus> = emptyList(),
 ) {
-    /** Whether this replica believes that it leads. */
+    /** Whether this replica considers itself the leader; another one may have been elected since. */
     val leading: Boolean get() = leader == node
 }
 
-/** Replicates commands over the control hosts; every call fails with a value, never by an exception. */
+/** Replicates commands across the control hosts. Calls report failures as values and throw no exceptions. */
 public interface Replica : AutoCloseable {
     /**
-     * Commits [command] on a quorum and returns the state machine's reply.
+     * Commits [command] on a quorum and returns the reply of the state machine.
      *
-     * Fails with `NotLeader` and `NotRun` when the command was never appended, and with `ControlUnavailable` and
-     * `MayHaveRun` when leadership was lost while it was under way.
+     * Fails with `NotLeader` and `NotRun` if the command was never appended, and with `ControlUnavailable` and
+     * `MayHaveRun` if leadership was lost while the call was in progress.
      */
     public suspend fun propose(command: ByteArray): Result<ByteArray, Failure>
 
     /**
-     * Confirms with a quorum that this replica still leads and has applied all that was committed before the call.
-     * Calls made while a confirmation is under way share the next one. Fails with `NotLeader`.
+     * Confirms with a quorum that this replica is still the leader and has applied everything that was committed before
+     * the call, so that its state can serve a linearizable read. Calls made during a confirmation round share the next
+     * round. Fails with `NotLeader`.
      */
     public suspend fun confirmLeadership(): Result<Unit, Failure>
 
-    /** Takes in a message from the replica [from]; a malformed one is dropped. */
+    /** Handles a message from the replica [from]; drops it if it is malformed. */
     public fun receive(
         from: NodeId,
         payload: ByteArray,
     )
 
-    /** Returns the current standing. */
+    /** Returns the current status. */
     public fun status(): ReplicaStatus
 }
--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/ReplicaDriver.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/ReplicaDriver.kt
@@ -1,7 +1,7 @@
 /*
- * Carries out what the core asks for, on the caller's thread: makes its effects durable with one sync a turn, sends
- * messages, applies committed entries and answers the calls that wait for them. After the first refusal by the disk it
- * neither votes nor acknowledges anything any more.
+ * Executes the effects of the core on the caller's thread: persists changes with one sync per batch, sends messages,
+ * applies committed entries and completes pending calls. After the first disk failure the replica halts, and neither
+ * votes nor acknowledges anything from then on.
  */
 package io.carawaytrack.consensus
 
@@ -20,12 +20,12 @@
 import io.carawaytrack.storage.StorageFailure
 import java.util.TreeMap
 
-/** Takes the outcome of a call. */
-internal typealias Answer = (Result<ByteArray, Failure>) -> Unit
+/** Receives the result of a call. */
+internal typealias ResultCallback = (Result<ByteArray, Failure>) -> Unit
 
-/** Asks the driver for one thing. */
+/** A request to the driver. */
 internal sealed interface Request {
-    /** Answers the request, if it wants an answer, that it was not carried out. */
+    /** Reports [failure] to the caller, if the request has one; the request was not executed. */
     fun refuse(failure: Failure) = Unit
 
     data object Tick : Request
@@ -37,22 +37,22 @@
 
     class Propose(
         val command: ByteArray,
-        val answer: Answer,
+        val callback: ResultCallback,
     ) : Request {
-        override fun refuse(failure: Failure) = answer(Err(failure))
+        override fun refuse(failure: Failure) = callback(Err(failure))
     }
 
     class Confirm(
-        val answer: Answer,
+        val callback: ResultCallback,
     ) : Request {
-        override fun refuse(failure: Failure) = answer(Err(failure))
+        override fun refuse(failure: Failure) = callback(Err(failure))
     }
 
     class ChangeMembers(
         val change: MemberChange,
-        val answer: Answer,
+        val callback: ResultCallback,
     ) : Request {
-        override fun refuse(failure: Failure) = answer(Err(failure))
+        override fun refuse(failure: Failure) = callback(Err(failure))
     }
 }
 
@@ -65,19 +65,19 @@
     private val nowMillis: () -> Long,
     private val onHalt: (Failure) -> Unit,
 ) {
-    private class Waiting(
+    private class PendingCall(
         val term: Long,
-        val answer: Answer,
+        val callback: ResultCallback,
     )
 
     private val state = core.state
-    private val calls = HashMap<CallId, Answer>()
-    private val waiting = TreeMap<Long, Waiting>()
+    private val calls = HashMap<CallId, ResultCallback>()
+    private val pendingCalls = TreeMap<Long, PendingCall>()
     private var lastCall: CallId = 0
     private var appliedIndex = 0L
     private var snapshotIndex = 0L
     private var bytesSinceSnapshot = 0L
-    private var halted: ErrorKind? = null
+    private var haltReason: ErrorKind? = null
 
     @Volatile
     var status: ReplicaStatus = currentStatus()
@@ -88,14 +88,14 @@
         status = currentStatus()
     }
 
-    /** Carries out [requests] with one sync. */
-    fun turn(requests: List<Request>) {
-        halted?.let { kind -> return requests.forEach { it.refuse(kind.notRun()) } }
-        carryOut(core.step(requests.mapNotNull(::inputOf), nowMillis()))
+    /** Processes [requests] as one batch with a single sync. */
+    fun process(requests: List<Request>) {
+        haltReason?.let { kind -> return requests.forEach { it.refuse(kind.notRun()) } }
+        execute(core.step(requests.mapNotNull(::inputOf), nowMillis()))
         status = currentStatus()
     }
 
-    /** Stops for good; calls whose entries are in the log may still take effect through other replicas. */
+    /** Stops permanently; calls whose entries are in the log may still be executed through other replicas. */
     fun close(
         kind: ErrorKind,
         detail: String,
@@ -108,29 +108,33 @@
         is Request.Tick -> Input.Tick
         is Request.Receive ->
             codec.decode(request.payload)?.let { Input.Received(request.from, it.incarnation, it.message) }
-        is Request.Propose -> Input.Propose(newCall(request.answer), request.command)
-        is Request.Confirm -> Input.Confirm(newCall(request.answer))
-        is Request.ChangeMembers -> Input.ChangeMembers(newCall(request.answer), request.change)
+        is Request.Propose -> Input.Propose(newCall(request.callback), request.command)
+        is Request.Confirm -> Input.Confirm(newCall(request.callback))
+        is Request.ChangeMembers -> Input.ChangeMembers(newCall(request.callback), request.change)
     }
 
-    private fun newCall(answer: Answer): CallId = (++lastCall).also { calls[it] = answer }
+    private fun newCall(callback: ResultCallback): CallId = (++lastCall).also { calls[it] = callback }
 
-    private tailrec fun carryOut(effects: Effects) {
-        // Before anything leaves, so that a call whose entry may have left is never said not to have run.
-        effects.accepted.forEach { waiting[it.index] = Waiting(it.term, calls.remove(it.call) ?: return@forEach) }
-        effects.early.forEach(::transmit)
+    private tailrec fun execute(effects: Effects) {
+        // Registered before any message is sent, so that no call is reported as not run after its entry was sent.
+        effects.accepted.forEach {
+            pendingCalls[it.index] = PendingCall(it.term, calls.remove(it.call) ?: return@forEach)
+        }
+        effects.beforePersist.forEach(::transmit)
         persist(effects).onFailure { return halt(ErrorKind.StorageFailed, it.detail) }
-        effects.late.forEach(::transmit)
+        effects.afterPersist.forEach(::transmit)
         effects.install?.let { restore(it.index, it.state) }
         effects.committed.forEach(::apply)
         effects.confirmed.forEach { calls.remove(it)?.invoke(Ok(ByteArray(0))) }
         effects.refused.forEach { calls.remove(it.call)?.invoke(Err(it.failure)) }
-        if (effects.lostLeadership) abandonWaiting(ErrorKind.ControlUnavailable, "the leadership was lost")
-        val inputs = followUps(effects)
-        if (inputs.isNotEmpty()) carryOut(core.step(inputs, nowMillis()))
+        if (effects.lostLeadership) {
+            failPendingCalls(ErrorKind.ControlUnavailable, "leadership was lost while the call was in progress")
+        }
+        val inputs = followUpInputs(effects)
+        if (inputs.isNotEmpty()) execute(core.step(inputs, nowMillis()))
     }
 
-    private fun followUps(effects: Effects): List<Input> {
+    private fun followUpInputs(effects: Effects): List<Input> {
         val inputs = ArrayList<Input>()
         effects.append.lastOrNull()?.let { inputs += Input.Persisted(it.index) }
         if (snapshotIsDue()) {
@@ -144,12 +148,12 @@
     private fun snapshotIsDue() = appliedIndex - snapshotIndex >= state.settings.snapshotEveryEntries ||
         bytesSinceSnapshot >= state.settings.snapshotEveryBytes
 
-    private fun persist(effects: Effects): Result<Unit, StorageFailure> = saved(effects.termVote) { store.saveTerm(it) }
-        .andThen { saved(effects.install) { store.installSnapshot(it) } }
-        .andThen { saved(effects.taken) { store.saveSnapshot(it.snapshot, it.firstKeptIndex) } }
+    private fun persist(effects: Effects): Result<Unit, StorageFailure> = ifSet(effects.termVote) { store.saveTerm(it) }
+        .andThen { ifSet(effects.install) { store.installSnapshot(it) } }
+        .andThen { ifSet(effects.taken) { store.saveSnapshot(it.snapshot, it.firstKeptIndex) } }
         .andThen { store.append(effects.append) }
 
-    private inline fun <T : Any> saved(
+    private inline fun <T : Any> ifSet(
         value: T?,
         save: (T) -> Result<Unit, StorageFailure>,
     ): Result<Unit, StorageFailure> = if (value == null) Ok(Unit) else save(value)
@@ -161,8 +165,8 @@
         val reply = if (command) stateMachine.apply(entry.index, entry.payload) else ByteArray(0)
         appliedIndex = entry.index
         bytesSinceSnapshot += entry.payload.size
-        val caller = waiting.remove(entry.index) ?: return
-        caller.answer(if (caller.term == entry.term) Ok(reply) else Err(uncertain(ErrorKind.ControlUnavailable)))
+        val pending = pendingCalls.remove(entry.index) ?: return
+        pending.callback(if (pending.term == entry.term) Ok(reply) else Err(mayHaveRun(ErrorKind.ControlUnavailable)))
     }
 
     private fun restore(
@@ -179,25 +183,25 @@
         kind: ErrorKind,
         detail: String,
     ) {
-        if (halted != null) return
-        halted = kind
+        if (haltReason != null) return
+        haltReason = kind
         state.leader = null
-        abandonWaiting(kind, detail)
+        failPendingCalls(kind, detail)
         calls.values.forEach { it(Err(kind.notRun(detail))) }
         calls.clear()
         status = currentStatus()
         onHalt(kind.notRun(detail))
     }
 
-    private fun abandonWaiting(
+    private fun failPendingCalls(
         kind: ErrorKind,
         detail: String,
     ) {
-        waiting.values.forEach { it.answer(Err(uncertain(kind, detail))) }
-        waiting.clear()
+        pendingCalls.values.forEach { it.callback(Err(mayHaveRun(kind, detail))) }
+        pendingCalls.clear()
     }
 
-    private fun uncertain(
+    private fun mayHaveRun(
         kind: ErrorKind,
         detail: String = kind.explanation,
     ) = Failure(kind, Execution.MayHaveRun, detail)
@@ -208,6 +212,6 @@
         term = state.term,
         commitIndex = state.commitIndex,
         appliedIndex = appliedIndex,
-        members = core.standings(),
+        members = core.memberStatuses(),
     )
 }
--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/Replication.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/Replication.kt
@@ -1,7 +1,8 @@
 /*
- * How a leader brings every other member to its own log: batches of entries, several in flight; a search for the last
- * common entry after a rejection; and the snapshot, chunk by chunk, where the entries are no longer kept. Lost messages
- * are noticed by the next heartbeat, which names the last entry sent and is rejected by a member that lacks it.
+ * Replicates the leader's log to the other members. Entries are sent in batches, several of them in flight. After a
+ * rejection the leader probes for the last matching entry, and it sends a snapshot in chunks if the entries that a
+ * member needs were compacted. A lost message is detected by the next heartbeat, which names the last entry sent and is
+ * rejected by a member that does not have it.
  */
 package io.carawaytrack.consensus
 
@@ -10,20 +11,20 @@
 import io.carawaytrack.storage.StoredSnapshot
 import io.carawaytrack.storage.checksum
 
-/** What the leader knows of one other member. */
+/** Tracks the replication to one other member. */
 private class Progress(
     var nextIndex: Long,
-    var lastHeardMillis: Long,
+    var lastReplyMillis: Long,
 ) {
     var matchIndex = 0L
     var inFlight = 0
     var lastSentMillis = 0L
-    var answeredRound = 0L
+    var acknowledgedRound = 0L
     var snapshot: StoredSnapshot? = null
     var snapshotChecksum = 0L
     var snapshotBytes = 0
 
-    /** Whether one message at a time looks for the last common entry. */
+    /** Whether the last matching entry is still unknown; then only one message is in flight. */
     var probing = true
 }
 
@@ -35,11 +36,11 @@
     private val settings get() = state.settings
     private val peers = HashMap<NodeId, Progress>()
 
-    /** The newest round of confirmation; every message carries it and every answer repeats it. */
+    /** Number of the latest confirmation round, which every message carries and every reply echoes. */
     var round = 0L
 
-    /** Keeps track of just the other members that are in force. */
-    fun followMembers() {
+    /** Starts tracking members that were added and stops tracking members that were removed. */
+    fun updatePeers() {
         val others = state.members.members.map { it.node } - state.node
         peers.keys.retainAll(others.toSet())
         others.forEach { node -> peers.getOrPut(node) { Progress(log.lastIndex + 1, nowMillis) } }
@@ -53,30 +54,30 @@
         .filterValues { nowMillis - it.lastSentMillis >= settings.heartbeatMillis }
         .forEach { (node, peer) -> sendHeartbeat(node, peer) }
 
-    /** Returns the index up to which [node] is known to hold the same log durably. */
+    /** Returns the index up to which the log of [node] is known to match and to be durable. */
     fun matchIndexOf(node: NodeId): Long = if (node == state.node) state.durableIndex else peers[node]?.matchIndex ?: 0
 
-    /** Returns the members that have answered a message of [wantedRound] or a later one, and the leader itself. */
-    fun answered(wantedRound: Long): Set<NodeId> =
-        peers.filterValues { it.answeredRound >= wantedRound }.keys + state.node
+    /** Returns the members that have replied in confirmation round [minRound] or later, and the leader itself. */
+    fun membersAcknowledging(minRound: Long): Set<NodeId> =
+        peers.filterValues { it.acknowledgedRound >= minRound }.keys + state.node
 
-    /** Returns the members that have answered within the last election timeout, and the leader itself. */
-    fun heard(): Set<NodeId> {
+    /** Returns the members that have replied within the last election timeout, and the leader itself. */
+    fun activeMembers(): Set<NodeId> {
         val oldestMillis = nowMillis - settings.electionTimeoutMillis
-        return peers.filterValues { it.lastHeardMillis > oldestMillis }.keys + state.node
+        return peers.filterValues { it.lastReplyMillis > oldestMillis }.keys + state.node
     }
 
-    /** Returns the time since [node] last answered; zero for this replica. */
-    fun replyAgeMillis(node: NodeId): Long = peers[node]?.let { nowMillis - it.lastHeardMillis } ?: 0
+    /** Returns the time since the last reply of [node]; zero for this replica. */
+    fun replyAgeMillis(node: NodeId): Long = peers[node]?.let { nowMillis - it.lastReplyMillis } ?: 0
 
-    /** Takes in a member's answer; returns whether [from] is one. */
+    /** Handles a reply; returns whether [from] is a tracked member. */
     fun onReply(
         from: NodeId,
         reply: FollowerMessage,
     ): Boolean {
         val peer = peers[from] ?: return false
-        peer.lastHeardMillis = nowMillis
-        peer.answeredRound = maxOf(peer.answeredRound, reply.round)
+        peer.lastReplyMillis = nowMillis
+        peer.acknowledgedRound = maxOf(peer.acknowledgedRound, reply.round)
         when (reply) {
             is AppendReply -> if (reply.accepted) onAcceptance(peer, reply) else onRejection(peer, reply)
             is SnapshotReply -> onSnapshotReply(from, peer, reply)
@@ -90,19 +91,19 @@
     ) {
         peer.matchIndex = maxOf(peer.matchIndex, reply.index)
         peer.nextIndex = maxOf(peer.nextIndex, peer.matchIndex + 1)
-        val installed = peer.snapshot.let { it == null || it.index <= peer.matchIndex }
-        if (installed) peer.snapshot = null
+        val snapshotInstalled = peer.snapshot.let { it == null || it.index <= peer.matchIndex }
+        if (snapshotInstalled) peer.snapshot = null
         peer.probing = false
-        val allAnswered = peer.matchIndex == peer.nextIndex - 1
-        peer.inFlight = if (allAnswered) 0 else maxOf(0, peer.inFlight - 1)
+        val allAcknowledged = peer.matchIndex == peer.nextIndex - 1
+        peer.inFlight = if (allAcknowledged) 0 else maxOf(0, peer.inFlight - 1)
     }
 
     private fun onRejection(
         peer: Progress,
         reply: AppendReply,
     ) {
-        val overtaken = reply.index <= peer.matchIndex || reply.index >= peer.nextIndex
-        if (overtaken) return
+        val stale = reply.index <= peer.matchIndex || reply.index >= peer.nextIndex
+        if (stale) return
         peer.probing = true
         peer.inFlight = 0
         peer.nextIndex = maxOf(peer.matchIndex + 1, minOf(reply.nextIndex, reply.index))
@@ -148,17 +149,20 @@
         entries: List<LogEntry>,
     ) {
         val previous = peer.nextIndex - 1
-        val previousTerm = checkNotNull(log.termAt(previous)) { "expected the log to hold index $previous" }
+        val previousTerm =
+            checkNotNull(log.termAt(previous)) {
+                "expected the log to contain index $previous, it starts after index ${log.baseIndex}"
+            }
         val sent = entries.map { SentEntry(it.term, it.kind, it.payload) }
         peer.lastSentMillis = nowMillis
-        state.sendEarly(to, AppendRequest(state.term, round, previous, previousTerm, state.commitIndex, sent))
+        state.sendBeforePersist(to, AppendRequest(state.term, round, previous, previousTerm, state.commitIndex, sent))
     }
 
     private fun startSnapshot(
         to: NodeId,
         peer: Progress,
     ) {
-        val snapshot = checkNotNull(log.snapshot) { "expected a snapshot at or after index ${log.baseIndex}" }
+        val snapshot = checkNotNull(log.snapshot) { "expected a snapshot from index ${log.baseIndex} on, found none" }
         peer.snapshot = snapshot
         peer.snapshotChecksum = checksum(snapshot.state)
         peer.snapshotBytes = 0
@@ -173,7 +177,7 @@
         val start = minOf(peer.snapshotBytes, snapshot.state.size)
         val end = minOf(start + settings.snapshotChunkBytes, snapshot.state.size)
         peer.lastSentMillis = nowMillis
-        state.sendEarly(
+        state.sendBeforePersist(
             to,
             SnapshotChunk(
                 term = state.term,
--- a/consensus/src/test/kotlin/io/carawaytrack/consensus/HistoryTest.kt
+++ b/consensus/src/test/kotlin/io/carawaytrack/consensus/HistoryTest.kt
@@ -1,7 +1,7 @@
 /*
- * Random histories under many faults at once: cuts, one-way cuts, loss, delay, duplicates, reordering, crashes with
- * torn writes, freezes, slow and fast clocks and failed syncs. The group checks its invariants at every step; the reads
- * and writes that clients saw are checked here.
+ * Random histories under several faults at once: partitions in one or both directions, message loss, delay, duplication
+ * and reordering, crashes with torn writes, pauses, slow and fast clocks, and failed syncs. The group checks its
+ * invariants at every step; this test checks that the reads and writes of clients are linearizable.
  */
 package io.carawaytrack.consensus
 
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.TestFactory
 
 class HistoryTest {
-    /** Follows what clients were told, and checks that it could have happened in one order. */
+    /** Records the outcomes that clients received and checks that they are linearizable. */
     private class Client(
         private val group: TestGroup,
     ) {
@@ -22,13 +22,13 @@
             val host: Host,
             val call: Call,
             val acknowledgedBefore: Set<String>,
-            val longestSeenBefore: Int,
+            val mostCommandsReadBefore: Int,
         )
 
         private val writes = ArrayList<Write>()
         private val reads = ArrayList<Read>()
         private val acknowledged = HashSet<String>()
-        private var longestSeen = 0
+        private var mostCommandsRead = 0
         val acknowledgedCommands: Set<String> get() = acknowledged
 
         fun write(host: Host) {
@@ -37,7 +37,7 @@
         }
 
         fun read(host: Host) {
-            reads += Read(host, group.confirm(host), acknowledged.toSet(), longestSeen)
+            reads += Read(host, group.confirm(host), acknowledged.toSet(), mostCommandsRead)
         }
 
         fun observe() {
@@ -48,20 +48,20 @@
         }
 
         private fun checkRead(read: Read) {
-            val seen = read.host.machine.applied
-            val missing = read.acknowledgedBefore - seen.toSet()
+            val applied = read.host.stateMachine.applied
+            val missing = read.acknowledgedBefore - applied.toSet()
             check(
                 missing.isEmpty(),
-            ) { "expected the read on ${read.host.node} to see $missing, got ${seen.size} commands" }
-            check(seen.size >= read.longestSeenBefore) {
-                "expected at least ${read.longestSeenBefore} commands, as an earlier read saw, got ${seen.size}"
+            ) { "expected the read on ${read.host.node} to return $missing, got ${applied.size} commands without them" }
+            check(applied.size >= read.mostCommandsReadBefore) {
+                "expected at least the ${read.mostCommandsReadBefore} commands of an earlier read, got ${applied.size}"
             }
-            longestSeen = maxOf(longestSeen, seen.size)
+            mostCommandsRead = maxOf(mostCommandsRead, applied.size)
         }
     }
 
     @TestFactory
-    fun `any history of faults keeps what was acknowledged and reads it back`() =
+    fun `acknowledged commands survive any history of faults and are returned by reads`() =
         (1..SEEDS).map { seed -> dynamicTest("seed $seed") { runHistory(seed) } }
 
     private fun runHistory(seed: Int) {
@@ -69,7 +69,7 @@
         val group = TestGroup(seed, size = if (seed % 2 == 0) 3 else 5, settings)
         val client = Client(group)
         repeat(STEPS) {
-            disturb(group)
+            injectFault(group)
             repeat(group.random.nextInt(4)) { client.write(group.hosts.values.random(group.random)) }
             group.leader()?.let(client::write)
             group.hosts.values.forEach(client::read)
@@ -84,39 +84,39 @@
         group.checkLogsMatch()
     }
 
-    /** What may befall a host between two steps; healing stands more than once, so that the group also gets ahead. */
-    private val disturbances: List<(TestGroup, Host) -> Unit> =
+    /** Faults injected between two steps; healing and recovery are listed repeatedly so that the group progresses. */
+    private val faults: List<(TestGroup, Host) -> Unit> =
         listOf(
             { group, host -> group.isolate(host) },
-            { group, host -> group.cut(host, group.hosts.values.random(group.random)) },
+            { group, host -> group.block(host, group.hosts.values.random(group.random)) },
             { group, _ -> group.heal() },
             { group, _ -> group.heal() },
             { group, _ -> group.heal() },
             { group, host -> group.restart(host) },
             { group, host -> group.crash(host) },
-            { _, host -> host.frozen = true },
-            { group, _ -> group.hosts.values.forEach { it.frozen = false } },
+            { _, host -> host.paused = true },
+            { group, _ -> group.hosts.values.forEach { it.paused = false } },
             { _, host -> host.disk.failSync = true },
             { group, host -> host.clockPercent = listOf(50, 200).random(group.random) },
-            { group, host -> isolateCrawling(group.leader() ?: host, group) },
-            { group, _ -> disturbNetwork(group) },
+            { group, host -> isolateWithSlowClock(group.leader() ?: host, group) },
+            { group, _ -> degradeNetwork(group) },
             { group, _ -> recover(group) },
             { group, _ -> recover(group) },
         )
 
-    private fun disturb(group: TestGroup) {
+    private fun injectFault(group: TestGroup) {
         val host = group.hosts.values.random(group.random)
-        disturbances.random(group.random)(group, host)
+        faults.random(group.random)(group, host)
     }
 
-    private fun disturbNetwork(group: TestGroup) {
+    private fun degradeNetwork(group: TestGroup) {
         group.longestDelayMillis = group.random.nextLong(1, 120)
         group.lossPercent = group.random.nextInt(15)
         group.duplicatePercent = group.random.nextInt(30)
     }
 
-    /** Cuts off [host] while its clock hardly moves, so that a leader believes in itself after another is elected. */
-    private fun isolateCrawling(
+    /** Isolates [host] and slows its clock, so that a leader does not step down before another one is elected. */
+    private fun isolateWithSlowClock(
         host: Host,
         group: TestGroup,
     ) {
@@ -130,7 +130,7 @@
         group.lossPercent = 0
         group.duplicatePercent = 0
         group.hosts.values.forEach { host ->
-            host.frozen = false
+            host.paused = false
             host.clockPercent = 100
             if (host.driver == null || host.disk.failSync) group.restart(host)
         }
--- a/consensus/src/test/kotlin/io/carawaytrack/consensus/MemoryDisk.kt
+++ b/consensus/src/test/kotlin/io/carawaytrack/consensus/MemoryDisk.kt
@@ -1,5 +1,5 @@
 /*
- * A disk in memory that loses what was not synced when its host crashes, and that can be made to refuse calls.
+ * An in-memory disk that loses unsynced data in a crash, and on which failed syncs and a full disk can be injected.
  */
 package io.carawaytrack.consensus
 
@@ -19,14 +19,14 @@
     var failSync = false
     var capacityBytes = Int.MAX_VALUE
 
-    /** Forgets what was not synced; a prefix of it, or zeros in its place, may have reached the disk. */
+    /** Drops unsynced data, except that a random prefix of it, or zeros in its place, may have reached the disk. */
     fun crash(random: Random) {
         failSync = false
         files.values.forEach { file ->
             val unsyncedBytes = file.content.size - file.syncedBytes
-            val arrived = if (unsyncedBytes == 0) 0 else random.nextInt(unsyncedBytes + 1)
-            val torn = file.content.copyOf(file.syncedBytes + arrived)
-            if (arrived > 0 && random.nextInt(4) == 0) torn.fill(0, file.syncedBytes)
+            val writtenBytes = if (unsyncedBytes == 0) 0 else random.nextInt(unsyncedBytes + 1)
+            val torn = file.content.copyOf(file.syncedBytes + writtenBytes)
+            if (writtenBytes > 0 && random.nextInt(4) == 0) torn.fill(0, file.syncedBytes)
             file.content = torn
             file.syncedBytes = torn.size
         }
--- a/consensus/src/test/kotlin/io/carawaytrack/consensus/MessageCodecTest.kt
+++ b/consensus/src/test/kotlin/io/carawaytrack/consensus/MessageCodecTest.kt
@@ -1,5 +1,5 @@
 /*
- * Messages that were damaged, cut short or meant for another cluster.
+ * Decoding of messages that are intact, damaged, truncated or from another cluster.
  */
 package io.carawaytrack.consensus
 
@@ -22,20 +22,20 @@
         )
 
     @Test
-    fun `a message is read back with its sender's incarnation`() {
+    fun `a message is decoded together with its sender's incarnation`() {
         val envelope = codec.decode(codec.encode(messages.first()))
         expectThat(envelope).isNotNull().get { incarnation to message }.isEqualTo(7L to messages.first())
     }
 
     @Test
-    fun `a message of another cluster is dropped`() {
+    fun `a message from another cluster is dropped`() {
         expectThat(MessageCodec("other", incarnation = 7).decode(codec.encode(messages.first()))).isNull()
     }
 
     @Test
-    fun `a message cut at any byte is dropped`() {
-        messages.map(codec::encode).forEach { whole ->
-            whole.indices.forEach { expectThat(codec.decode(whole.copyOf(it))).isNull() }
+    fun `a message truncated at any byte is dropped`() {
+        messages.map(codec::encode).forEach { encoded ->
+            encoded.indices.forEach { expectThat(codec.decode(encoded.copyOf(it))).isNull() }
         }
     }
 
--- a/consensus/src/test/kotlin/io/carawaytrack/consensus/OpenReplicaTest.kt
+++ b/consensus/src/test/kotlin/io/carawaytrack/consensus/OpenReplicaTest.kt
@@ -1,5 +1,6 @@
 /*
- * The replica with its thread, as the control hosts open it: a group of one, whose clock advances by every look at it.
+ * A replica with its own thread, as opened by the control hosts. The group has one member, and every read of the clock
+ * advances it by 100 ms.
  */
 package io.carawaytrack.consensus
 
@@ -31,22 +32,22 @@
     private val disk = MemoryDisk()
     private val clock = AtomicLong()
     private val halts = LinkedBlockingQueue<Failure>()
-    private lateinit var machine: ListMachine
+    private lateinit var stateMachine: RecordingStateMachine
 
     @Test
-    fun `many calls at once are all answered and survive a restart`() = runTest {
+    fun `concurrent calls all succeed and their commands survive a restart`() = runTest {
         initialise()
         open().use { replica ->
-            lead(replica)
+            awaitLeadership(replica)
             val replies = (1..200).map { async { replica.propose("w$it".toByteArray()) } }.awaitAll()
             expectThat(replies.all { it.isOk }).isTrue()
             expectThat(replica.confirmLeadership().isOk).isTrue()
         }
-        val written = machine.applied
+        val appliedBefore = stateMachine.applied
         open().use { replica ->
-            lead(replica)
-            expectThat(machine.applied).isEqualTo(written)
-            expectThat(machine.applied).containsExactlyInAnyOrder((1..200).map { "w$it" })
+            awaitLeadership(replica)
+            expectThat(stateMachine.applied).isEqualTo(appliedBefore)
+            expectThat(stateMachine.applied).containsExactlyInAnyOrder((1..200).map { "w$it" })
         }
     }
 
@@ -56,10 +57,10 @@
     }
 
     @Test
-    fun `a command over the bound is refused`() = runTest {
+    fun `a command over the size limit is refused`() = runTest {
         initialise()
         open().use { replica ->
-            lead(replica)
+            awaitLeadership(replica)
             val failure = replica.propose(ByteArray(ReplicaSettings().maxCommandBytes + 1)).getError()
             expectThat(failure)
                 .isNotNull()
@@ -69,10 +70,10 @@
     }
 
     @Test
-    fun `a closed replica refuses every call and names why it halted`() = runTest {
+    fun `a closed replica refuses every call and reports why it halted`() = runTest {
         initialise()
         val replica = open()
-        lead(replica)
+        awaitLeadership(replica)
         replica.close()
         val failures =
             listOf(
@@ -90,10 +91,10 @@
     }
 
     @Test
-    fun `a state machine that throws halts its replica and the call is answered`() = runTest {
+    fun `a state machine that throws halts its replica and the call fails`() = runTest {
         initialise()
         open().use { replica ->
-            lead(replica)
+            awaitLeadership(replica)
             val failure = replica.propose("poison".toByteArray()).getError()
             expectThat(failure)
                 .isNotNull()
@@ -109,11 +110,11 @@
     private fun open() = tryOpen().unwrap()
 
     private fun tryOpen(): Result<GroupReplica, Failure> {
-        machine = ListMachine { _, command -> check(command != "poison") { "injected: $command" } }
+        stateMachine = RecordingStateMachine { _, command -> check(command != "poison") { "injected: $command" } }
         return openReplica(
             group = ReplicaGroup("test", node, listOf(node)),
             disk = disk,
-            stateMachine = machine,
+            stateMachine = stateMachine,
             send = { _, _ -> },
             nowMillis = { clock.addAndGet(100) },
             random = Random(1),
@@ -121,9 +122,9 @@
         )
     }
 
-    /** Asks until the replica leads; every call moves the clock on. */
-    private suspend fun lead(replica: Replica) {
+    /** Calls the replica until it is the leader; every call advances the clock. */
+    private suspend fun awaitLeadership(replica: Replica) {
         repeat(1_000) { if (replica.confirmLeadership().isOk) return }
-        error("expected $node to lead after 1000 calls, found ${replica.status()}")
+        error("expected $node to become the leader within 1000 calls, got ${replica.status()}")
     }
 }
--- a/consensus/src/test/kotlin/io/carawaytrack/consensus/RaftCoreTest.kt
+++ b/consensus/src/test/kotlin/io/carawaytrack/consensus/RaftCoreTest.kt
@@ -1,5 +1,5 @@
 /*
- * What the core does with single messages: late ones above all, and those on which an election or a commit turns.
+ * Reactions of the core to single messages: delayed ones, and those that decide an election or a commit.
  */
 package io.carawaytrack.consensus
 
@@ -21,7 +21,7 @@
     private val core = newCore()
 
     @Test
-    fun `a late snapshot drops nothing that was acknowledged after it`() {
+    fun `a delayed snapshot does not drop entries acknowledged after it`() {
         receive(append(previousIndex = 0, count = 5))
         val effects = receive(snapshot(index = 3))
         expectThat(effects.install).isNull()
@@ -30,7 +30,7 @@
     }
 
     @Test
-    fun `a snapshot beyond the log replaces it and the log goes on after it`() {
+    fun `a snapshot beyond the end of the log replaces the log and later entries follow it`() {
         receive(append(previousIndex = 0, count = 2))
         val effects = receive(snapshot(index = 7))
         expectThat(effects.install?.index).isEqualTo(7)
@@ -39,15 +39,15 @@
     }
 
     @Test
-    fun `a late shorter batch drops nothing that was acknowledged`() {
+    fun `a delayed shorter batch does not drop acknowledged entries`() {
         receive(append(previousIndex = 0, count = 5))
-        val reply = receive(append(previousIndex = 0, count = 2)).late.single().message as AppendReply
+        val reply = receive(append(previousIndex = 0, count = 2)).afterPersist.single().message as AppendReply
         expectThat(reply.accepted to reply.index).isEqualTo(true to 2L)
         expectThat(core.state.log.lastIndex).isEqualTo(5)
     }
 
     @Test
-    fun `an entry of an earlier term is committed only together with one of the leader's own`() {
+    fun `an entry of an earlier term is committed only together with one of the leader's own term`() {
         receive(append(previousIndex = 0, count = 1))
         elect()
         receive(AppendReply(term = 2, round = 0, accepted = true, index = 1))
@@ -59,39 +59,39 @@
     @Test
     fun `a leader confirms nothing before an entry of its own term is committed`() {
         elect()
-        val asked = core.step(listOf(Input.Confirm(call = 7)), now = 401)
-        val answered = receive(AppendReply(term = 1, round = 1, accepted = true, index = 0))
-        expectThat(asked.confirmed + answered.confirmed).isEqualTo(listOf())
+        val requested = core.step(listOf(Input.Confirm(call = 7)), now = 401)
+        val acknowledged = receive(AppendReply(term = 1, round = 1, accepted = true, index = 0))
+        expectThat(requested.confirmed + acknowledged.confirmed).isEqualTo(listOf())
         val committed = receive(AppendReply(term = 1, round = 1, accepted = true, index = 1))
         expectThat(committed.confirmed).isEqualTo(arrayListOf(7L))
     }
 
     @Test
-    fun `a vote is given once a term and is durable before it is answered`() {
+    fun `a replica votes once per term and persists the vote before it replies`() {
         val first = receive(VoteRequest(term = 5, lastIndex = 0, lastTerm = 0), from = nodes[1], now = 300)
         val second = receive(VoteRequest(term = 5, lastIndex = 0, lastTerm = 0), from = nodes[2], now = 300)
         expectThat(first.termVote).isEqualTo(TermVote(5, nodes[1]))
-        expectThat(first.late.single().message).isEqualTo(VoteReply(term = 5, granted = true))
-        expectThat(second.late.single().message).isEqualTo(VoteReply(term = 5, granted = false))
+        expectThat(first.afterPersist.single().message).isEqualTo(VoteReply(term = 5, granted = true))
+        expectThat(second.afterPersist.single().message).isEqualTo(VoteReply(term = 5, granted = false))
     }
 
     @Test
     fun `a candidate whose log is behind gets no vote`() {
         receive(append(previousIndex = 0, count = 3))
         val reply = receive(VoteRequest(term = 5, lastIndex = 2, lastTerm = 1), from = nodes[2], now = 300)
-        expectThat(reply.late.single().message).isEqualTo(VoteReply(term = 5, granted = false))
+        expectThat(reply.afterPersist.single().message).isEqualTo(VoteReply(term = 5, granted = false))
     }
 
     @Test
-    fun `a replica that hears its leader leaves an election unanswered`() {
+    fun `a replica in contact with its leader ignores a vote request`() {
         receive(append(previousIndex = 0, count = 1))
         val effects = receive(VoteRequest(term = 5, lastIndex = 9, lastTerm = 4), from = nodes[2])
-        expectThat(effects.late).isEqualTo(arrayListOf())
+        expectThat(effects.afterPersist).isEqualTo(arrayListOf())
         expectThat(core.state.term).isEqualTo(1)
     }
 
     @Test
-    fun `a leader counts its own entry only once it is durable`() {
+    fun `a leader counts its own entry towards the quorum only once it is durable`() {
         elect()
         core.step(listOf(Input.Propose(call = 1, command = ByteArray(1))), now = 401)
         receive(AppendReply(term = 1, round = 0, accepted = true, index = 2))
@@ -101,7 +101,7 @@
     }
 
     @Test
-    fun `a change of the members that was never committed is undone with its entry`() {
+    fun `an uncommitted membership change is undone when its entry is overwritten`() {
         val changed = GroupMembers.ofVoters(nodes + NodeId("c4"))
         val change = listOf(SentEntry(1, EntryKind.MEMBERS, changed.encode()))
         receive(append(previousIndex = 0, count = 0).copy(entries = change))
@@ -111,7 +111,7 @@
         expectThat(core.state.members).isEqualTo(GroupMembers.ofVoters(nodes))
     }
 
-    /** Makes the core the leader of the next term, with its first entry durable. */
+    /** Makes the core the leader of the next term and persists its first entry. */
     private fun elect() {
         val term = core.state.term
         core.step(listOf(Input.Tick), now = 400)
--- a/consensus/src/test/kotlin/io/carawaytrack/consensus/ReplicaTest.kt
+++ b/consensus/src/test/kotlin/io/carawaytrack/consensus/ReplicaTest.kt
@@ -1,5 +1,5 @@
 /*
- * What a group does under one fault at a time.
+ * Behaviour of a group under a single fault.
  */
 package io.carawaytrack.consensus
 
@@ -33,11 +33,11 @@
         group.electLeader()
         group.commit(listOf("a", "b", "c"))
         group.runUntilAllApplied(listOf("a", "b", "c"))
-        group.hosts.values.forEach { expectThat(it.machine.applied).containsExactly("a", "b", "c") }
+        group.hosts.values.forEach { expectThat(it.stateMachine.applied).containsExactly("a", "b", "c") }
     }
 
     @Test
-    fun `nothing acknowledged is lost when every replica restarts after 500 changes`() {
+    fun `no acknowledged command is lost when every replica restarts after 500 commands`() {
         val commands = commands(500)
         group.electLeader()
         group.commit(commands)
@@ -48,7 +48,7 @@
     }
 
     @Test
-    fun `a host that does not lead refuses with the truth that nothing ran`() {
+    fun `a follower refuses calls with NotLeader and NotRun`() {
         val follower = group.electLeader().followers.first()
         val calls = listOf(group.propose(follower, "a"), group.confirm(follower))
         group.run(millis = 20)
@@ -59,29 +59,31 @@
                 .isEqualTo(ErrorKind.NotLeader to Execution.NotRun)
         }
         group.run(millis = 1_000)
-        group.hosts.values.forEach { expectThat(it.machine.applied).containsExactly() }
+        group.hosts.values.forEach { expectThat(it.stateMachine.applied).containsExactly() }
     }
 
     @Test
-    fun `of two hosts proposed to at once only the leader accepts`() {
+    fun `only the leader accepts when every host receives a proposal`() {
         val leader = group.electLeader()
         val outcomes = group.hosts.values.associateWith { group.propose(it, "from ${it.node}") }
         group.run(millis = 1_000)
         outcomes.forEach { (host, call) -> expectThat(call.succeeded).isEqualTo(host == leader) }
-        expectThat(leader.machine.applied).containsExactly("from ${leader.node}")
+        expectThat(leader.stateMachine.applied).containsExactly("from ${leader.node}")
     }
 
     @TestFactory
-    fun `a leader that is cut off stops confirming and the others go on`() =
+    fun `a partitioned leader confirms nothing and the others elect a new leader`() =
         listOf<Pair<String, (TestGroup, Host, Host) -> Unit>>(
-            "both ways" to { group, leader, other -> group.cut(leader, other).also { group.cut(other, leader) } },
-            "it is heard but hears nothing" to { group, leader, other -> group.cut(other, leader) },
-            "it hears but is not heard" to { group, leader, other -> group.cut(leader, other) },
-        ).map { (name, cut) ->
+            "neither sends nor receives" to { group, leader, other ->
+                group.block(leader, other).also { group.block(other, leader) }
+            },
+            "sends but does not receive" to { group, leader, other -> group.block(other, leader) },
+            "receives but does not send" to { group, leader, other -> group.block(leader, other) },
+        ).map { (name, partition) ->
             dynamicTest(name) {
                 val group = TestGroup(seed = 2)
                 val old = group.electLeader()
-                (group.hosts.values - old).forEach { cut(group, old, it) }
+                (group.hosts.values - old).forEach { partition(group, old, it) }
                 val confirmation = group.confirm(old)
                 val proposal = group.propose(old, "lost")
                 group.runUntil(
@@ -104,7 +106,7 @@
         }
 
     @Test
-    fun `a leader cut off for a minute returns without disturbing the group`() {
+    fun `a leader that returns after a minute in a partition causes no election`() {
         val old = group.electLeader()
         group.isolate(old)
         group.runUntil("another leader") { group.leader().let { it != null && it != old } }
@@ -128,15 +130,15 @@
     }
 
     @Test
-    fun `a frozen leader that resumes confirms nothing it no longer knows`() {
+    fun `a leader that resumes after a pause confirms nothing once another was elected`() {
         val old = group.electLeader()
-        old.frozen = true
+        old.paused = true
         val confirmation = group.confirm(old)
         group.runUntil("another leader") { group.hosts.values.any { it != old && it.driver!!.status.leading } }
         val new = group.hosts.values.first { it != old && it.driver!!.status.leading }
         val proposal = group.propose(new, "after")
         group.runUntil("a commit by the new leader") { proposal.succeeded }
-        old.frozen = false
+        old.paused = false
         group.run(millis = 500)
         expectThat(confirmation.failure?.kind).isEqualTo(ErrorKind.NotLeader)
         group.runUntilAllApplied(listOf("after"))
@@ -150,11 +152,11 @@
         group.run(millis = 1)
         val shared = List(5) { group.confirm(leader) }
         group.runUntil("confirmations") { first.succeeded && shared.all(Call::succeeded) }
-        expectThat(leader.machine.applied).containsExactly("a")
+        expectThat(leader.stateMachine.applied).containsExactly("a")
     }
 
     @Test
-    fun `a lost host is replaced by a learner and a second host may be lost just after`() {
+    fun `a lost host is replaced by a learner and the group survives the loss of a second host`() {
         val leader = group.electLeader()
         group.commit(commands(200))
         val lost = leader.followers.first()
@@ -176,7 +178,7 @@
     }
 
     @Test
-    fun `a learner is promoted only once it has caught up and answers`() {
+    fun `a learner is promoted only after it has caught up and replied`() {
         val leader = group.electLeader()
         group.commit(commands(100))
         val learner = group.add(NodeId("c4"))
@@ -194,7 +196,7 @@
     }
 
     @Test
-    fun `a removed leader hands over to the others`() {
+    fun `another leader is elected when the leader is removed`() {
         val leader = group.electLeader()
         changeMembers(MemberChange.Remove(leader.node))
         group.runUntil("another leader") { group.leader().let { it != null && it != leader } }
@@ -203,16 +205,16 @@
     }
 
     @Test
-    fun `a host that lost its disk does not vote as its old self`() {
+    fun `a host that lost its disk does not vote under its old identity`() {
         val leader = group.electLeader()
-        val (behind, forgetful) = leader.followers
+        val (behind, wiped) = leader.followers
         group.run(millis = 500)
         group.isolate(behind)
         group.commit(listOf("kept"))
         group.crash(leader)
-        group.loseDisk(forgetful)
-        group.initialise(forgetful)
-        group.start(forgetful)
+        group.loseDisk(wiped)
+        group.initialise(wiped)
+        group.start(wiped)
         group.heal()
         group.run(millis = 5_000)
         expectThat(group.leader()).isNull()
@@ -221,7 +223,7 @@
     }
 
     @Test
-    fun `a host that missed many changes is brought up by a snapshot in chunks`() {
+    fun `a host that is far behind catches up through a snapshot in chunks`() {
         val leader = group.electLeader()
         val behind = leader.followers.first()
         group.isolate(behind)
@@ -233,7 +235,7 @@
     }
 
     @Test
-    fun `every message stays under half a mebibyte`() {
+    fun `every message is smaller than 512 KiB`() {
         val group = TestGroup(seed = 3, settings = ReplicaSettings(snapshotEveryEntries = 20, keptEntries = 5))
         val leader = group.electLeader()
         val behind = (group.hosts.values - leader).first()
@@ -245,12 +247,12 @@
             group.runUntil("commits") { calls.all(Call::succeeded) }
         }
         group.heal()
-        group.runUntil("the host behind to catch up") { behind.machine.applied.size == 2_030 }
+        group.runUntil("the host behind to catch up") { behind.stateMachine.applied.size == 2_030 }
         expectThat(group.largestMessageBytes).isLessThan(512 * 1024)
     }
 
     @TestFactory
-    fun `a disk that refuses to sync or is full stops its replica truthfully and the others go on`() =
+    fun `a replica whose disk fails halts and reports the outcome of each call and the others continue`() =
         listOf<Pair<String, (MemoryDisk) -> Unit>>(
             "failed sync" to { it.failSync = true },
             "full disk" to { it.capacityBytes = 1 },
@@ -281,12 +283,12 @@
         }
 
     @Test
-    fun `a call whose entry may have left is never said not to have run`() {
+    fun `a call whose entry may have been sent is never reported as not run`() {
         val leader = group.electLeader()
         val proposal = group.propose(leader, "a")
         group.sendThrows = true
         expectThrows<IllegalStateException> { group.run(millis = 5) }
-        leader.driver!!.close(ErrorKind.Internal, "the thread threw")
+        leader.driver!!.close(ErrorKind.Internal, "the thread failed")
         expectThat(proposal.failure)
             .isNotNull()
             .get { kind to execution }
@@ -300,11 +302,11 @@
         val proposal = group.propose(leader, "a")
         group.run(millis = 1_000)
         expectThat(proposal.failure?.execution).isEqualTo(Execution.MayHaveRun)
-        group.hosts.values.forEach { expectThat(it.machine.applied).containsExactly() }
+        group.hosts.values.forEach { expectThat(it.stateMachine.applied).containsExactly() }
     }
 
     @Test
-    fun `what was acknowledged survives a crash of all hosts at that moment`() {
+    fun `an acknowledged command survives a crash of all hosts right after the acknowledgement`() {
         repeat(50) { seed ->
             val group = TestGroup(seed)
             val leader = group.electLeader()
@@ -322,8 +324,8 @@
     fun `a malformed message is dropped`() {
         val leader = group.electLeader()
         val term = leader.driver!!.status.term
-        val garbage = listOf(ByteArray(0), ByteArray(40) { it.toByte() }, "{}".toByteArray())
-        garbage.forEach { leader.inbox += Request.Receive(leader.followers.first().node, it) }
+        val malformed = listOf(ByteArray(0), ByteArray(40) { it.toByte() }, "{}".toByteArray())
+        malformed.forEach { leader.pendingRequests += Request.Receive(leader.followers.first().node, it) }
         group.run(millis = 500)
         group.commit(listOf("a"))
         expectThat(leader.driver!!.status.term).isEqualTo(term)
--- a/consensus/src/test/kotlin/io/carawaytrack/consensus/ReplicationBenchmark.kt
+++ b/consensus/src/test/kotlin/io/carawaytrack/consensus/ReplicationBenchmark.kt
@@ -1,6 +1,6 @@
 /*
- * Measures a group of three replicas in one process on real files with real syncs, and the time to open a long log.
- * Runs only when named:
+ * Measures a group of three replicas in one process with real files and syncs, and the time to open a long log. Runs
+ * only if selected by name:
  * `mvn -o -B -pl consensus -am test -Dtest=ReplicationBenchmark -Dsurefire.failIfNoSpecifiedTests=false`
  */
 package io.carawaytrack.consensus
@@ -23,7 +23,7 @@
 import kotlin.random.Random
 
 class ReplicationBenchmark {
-    private class CountingMachine : StateMachine {
+    private class CountingStateMachine : StateMachine {
         private var count = 0L
 
         override fun apply(
@@ -43,7 +43,7 @@
     private val replicas = ConcurrentHashMap<NodeId, GroupReplica>()
 
     @Test
-    fun `proposals a second and latency by callers at once, then the time to open the log`() =
+    fun `proposals per second and latency by number of callers, then the time to open the log`() =
         runBlocking(Dispatchers.Default) {
             nodes.forEach { replicas[it] = open(it, initialise = true) }
             val leader = awaitLeader()
@@ -69,7 +69,7 @@
         return openReplica(
             group = ReplicaGroup("benchmark", node, nodes),
             disk = disk,
-            stateMachine = CountingMachine(),
+            stateMachine = CountingStateMachine(),
             send = { to, payload -> replicas[to]?.receive(node, payload) },
             nowMillis = { System.nanoTime() / 1_000_000 },
             random = Random.Default,
--- a/consensus/src/test/kotlin/io/carawaytrack/consensus/TestGroup.kt
+++ b/consensus/src/test/kotlin/io/carawaytrack/consensus/TestGroup.kt
@@ -1,7 +1,7 @@
 /*
- * A few replicas on one thread over a fake network, fake disks and a fake clock, all drawn from one seed. After every
- * step it checks what must hold in any run: one leader a term, one command an index, and leaders that hold all that was
- * ever committed.
+ * Runs a group of replicas on one thread with a simulated network, simulated disks and a simulated clock, all derived
+ * from one seed. After every step it checks the Raft invariants: at most one leader per term, one command per index,
+ * and leader completeness.
  */
 package io.carawaytrack.consensus
 
@@ -26,8 +26,8 @@
         promotionLagEntries = 4,
     )
 
-/** Collects the applied commands in order. */
-internal class ListMachine(
+/** Records the applied commands in order. */
+internal class RecordingStateMachine(
     private val onApply: (Long, String) -> Unit,
 ) : StateMachine {
     var applied = listOf<String>()
@@ -49,7 +49,7 @@
     }
 }
 
-/** Holds the outcome of a call once there is one. */
+/** Holds the outcome of a call once it has completed. */
 internal class Call {
     var outcome: Result<ByteArray, Failure>? = null
         private set
@@ -57,7 +57,7 @@
     val succeeded: Boolean get() = outcome?.isOk == true
 
     fun complete(result: Result<ByteArray, Failure>) {
-        check(outcome == null) { "expected one outcome, got $outcome and then $result" }
+        check(outcome == null) { "expected a single outcome, got $outcome and then $result" }
         outcome = result
     }
 
@@ -71,11 +71,11 @@
     var disk = MemoryDisk()
     var driver: ReplicaDriver? = null
     var core: RaftCore? = null
-    lateinit var machine: ListMachine
-    val inbox = ArrayList<Request>()
-    var frozen = false
+    lateinit var stateMachine: RecordingStateMachine
+    val pendingRequests = ArrayList<Request>()
+    var paused = false
 
-    /** Speed of the host's own clock; one that crawls believes in its leadership for long. */
+    /** Speed of the host's clock in percent; a leader with a slow clock takes long to notice that it lost contact. */
     var clockPercent = 100
     private var clockHundredths = 0L
     val clockMillis: Long get() = clockHundredths / 100
@@ -90,7 +90,7 @@
     size: Int = 3,
     private val settings: ReplicaSettings = testSettings,
 ) {
-    private class Travelling(
+    private class InFlightMessage(
         val atMillis: Long,
         val number: Long,
         val from: NodeId,
@@ -100,7 +100,7 @@
 
     val random = Random(seed)
     val hosts = LinkedHashMap<NodeId, Host>()
-    val cuts = HashSet<Pair<NodeId, NodeId>>()
+    val blockedLinks = HashSet<Pair<NodeId, NodeId>>()
     var nowMillis = 1_000L
         private set
     var longestDelayMillis = 3L
@@ -109,7 +109,7 @@
     var sendThrows = false
     var largestMessageBytes = 0
         private set
-    private val network = PriorityQueue<Travelling>(compareBy({ it.atMillis }, { it.number }))
+    private val network = PriorityQueue<InFlightMessage>(compareBy({ it.atMillis }, { it.number }))
     private var sent = 0L
     private var incarnations = 0L
     private val leaderOfTerm = HashMap<Long, NodeId>()
@@ -133,30 +133,31 @@
 
     fun start(host: Host) {
         val opened = openLogStore(host.disk, "test", host.node, segmentBytes = 1_024).unwrap()
-        host.machine = ListMachine { index, command -> recordApplied(index, command) }
+        host.stateMachine = RecordingStateMachine { index, command -> recordApplied(index, command) }
         val group = ReplicaGroup("test", host.node, host.initialMembers)
         val core = RaftCore(group, settings, opened.recovered, Random(random.nextInt()), host.clockMillis)
         val codec = MessageCodec("test", opened.recovered.identity.incarnation)
         val send = { to: NodeId, payload: ByteArray -> transmit(host.node, to, payload) }
         host.core = core
-        host.driver = ReplicaDriver(core, opened.store, host.machine, codec, send, { host.clockMillis }, onHalt = {})
+        host.driver =
+            ReplicaDriver(core, opened.store, host.stateMachine, codec, send, { host.clockMillis }, onHalt = {})
     }
 
     fun crash(host: Host) {
         host.driver = null
         host.core = null
-        host.inbox.clear()
+        host.pendingRequests.clear()
         host.disk.crash(random)
     }
 
-    /** Starts [host] again, on a disk that takes calls again. */
+    /** Restarts [host] with a disk that no longer fails. */
     fun restart(host: Host) {
         if (host.driver != null) crash(host)
         host.disk.failSync = false
         start(host)
     }
 
-    /** Gives [host] an empty disk and initialises it anew, as a careless operator might. */
+    /** Crashes [host] and replaces its disk by an empty one that is not initialised. */
     fun loseDisk(host: Host) {
         crash(host)
         host.disk = MemoryDisk()
@@ -179,28 +180,27 @@
 
     private fun call(
         host: Host,
-        request: (Answer) -> Request,
+        request: (ResultCallback) -> Request,
     ): Call {
         val call = Call()
-        host.inbox += request(call::complete)
+        host.pendingRequests += request(call::complete)
         return call
     }
 
-    fun cut(
+    fun block(
         from: Host,
         to: Host,
     ) {
-        cuts += from.node to to.node
+        blockedLinks += from.node to to.node
     }
 
-    fun isolate(host: Host) = (hosts.values - host).forEach { other -> cut(host, other).also { cut(other, host) } }
+    fun isolate(host: Host) = (hosts.values - host).forEach { other -> block(host, other).also { block(other, host) } }
 
-    fun heal() = cuts.clear()
+    fun heal() = blockedLinks.clear()
 
     fun leader(): Host? =
         hosts.values.filter { it.driver?.status?.leading == true }.maxByOrNull { it.driver!!.status.term }
 
-    /** Runs until [condition] holds. */
     fun runUntil(
         expected: String,
         withinMillis: Long = 10_000,
@@ -220,7 +220,7 @@
         return leader()!!
     }
 
-    /** Proposes each of [commands] to whichever host leads until it is acknowledged; a command may appear twice. */
+    /** Proposes each of [commands] to the current leader until it is acknowledged; may commit a command twice. */
     fun commit(commands: List<String>) = commands.forEach { command ->
         var call: Call? = null
         runUntil("$command committed") {
@@ -233,7 +233,7 @@
         commands: Collection<String>,
         on: Collection<Host> = hosts.values,
     ) = runUntil("all of ${commands.size} commands on ${on.map { it.node }}") {
-        on.all { it.machine.applied.containsAll(commands) }
+        on.all { it.stateMachine.applied.containsAll(commands) }
     }
 
     private fun confirmed(host: Host): Boolean {
@@ -246,16 +246,16 @@
         nowMillis++
         hosts.values.forEach(Host::advanceClock)
         while (network.isNotEmpty() && network.peek().atMillis <= nowMillis) deliver(network.poll())
-        hosts.values.filter { !it.frozen }.forEach(::turn)
-        check()
+        hosts.values.filter { !it.paused }.forEach(::process)
+        checkInvariants()
     }
 
-    private fun turn(host: Host) {
+    private fun process(host: Host) {
         val driver = host.driver ?: return
-        val requests = host.inbox.toList()
-        host.inbox.clear()
+        val requests = host.pendingRequests.toList()
+        host.pendingRequests.clear()
         val due = nowMillis % TICK_MILLIS == 0L
-        if (due || requests.isNotEmpty()) driver.turn(if (due) requests + Request.Tick else requests)
+        if (due || requests.isNotEmpty()) driver.process(if (due) requests + Request.Tick else requests)
     }
 
     private fun transmit(
@@ -268,14 +268,14 @@
         if (random.nextInt(PERCENT) < lossPercent) return
         val copies = if (random.nextInt(PERCENT) < duplicatePercent) 2 else 1
         repeat(copies) {
-            network += Travelling(nowMillis + 1 + random.nextLong(longestDelayMillis), sent++, from, to, payload)
+            network += InFlightMessage(nowMillis + 1 + random.nextLong(longestDelayMillis), sent++, from, to, payload)
         }
     }
 
-    private fun deliver(message: Travelling) {
-        if (message.from to message.to in cuts) return
+    private fun deliver(message: InFlightMessage) {
+        if (message.from to message.to in blockedLinks) return
         val host = hosts[message.to] ?: return
-        if (host.driver != null) host.inbox += Request.Receive(message.from, message.payload)
+        if (host.driver != null) host.pendingRequests += Request.Receive(message.from, message.payload)
     }
 
     private fun recordApplied(
@@ -283,27 +283,29 @@
         command: String,
     ) {
         val first = commandAt.getOrPut(index) { command }
-        check(first == command) { "expected $first at index $index, got $command applied" }
+        check(first == command) { "expected $first to be applied at index $index, got $command" }
     }
 
-    private fun check() = hosts.values.forEach { host ->
+    private fun checkInvariants() = hosts.values.forEach { host ->
         val status = host.driver?.status ?: return@forEach
         if (!status.leading) return@forEach
-        val known = leaderOfTerm[status.term]
-        check(known == null || known == host.node) { "expected $known to lead ${status.term}, got ${host.node}" }
-        if (known == null) checkComplete(host)
+        val recorded = leaderOfTerm[status.term]
+        check(recorded == null || recorded == host.node) {
+            "expected $recorded as the only leader of term ${status.term}, got ${host.node}"
+        }
+        if (recorded == null) checkLeaderCompleteness(host)
         leaderOfTerm[status.term] = host.node
     }
 
-    private fun checkComplete(host: Host) {
+    private fun checkLeaderCompleteness(host: Host) {
         val log = host.core!!.state.log
         commandAt.filterKeys { it > log.baseIndex }.forEach { (index, command) ->
-            val held = if (index <= log.lastIndex) String(log.entry(index).payload) else "nothing"
-            check(held == command) { "expected the new leader ${host.node} to hold $command at $index, got $held" }
+            val found = if (index <= log.lastIndex) String(log.entry(index).payload) else "nothing"
+            check(found == command) { "expected $command at index $index of new leader ${host.node}, got $found" }
         }
     }
 
-    /** Checks that logs which agree on an entry's term agree on all before it. */
+    /** Checks the log matching property: logs with an entry of the same index and term are equal up to it. */
     fun checkLogsMatch() {
         val logs = hosts.values.mapNotNull { it.core?.state?.log }
         for (one in logs) {
@@ -313,7 +315,9 @@
                 val agreed = shared.lastOrNull { one.termAt(it) == other.termAt(it) } ?: continue
                 shared.filter { it <= agreed }.forEach { index ->
                     val equal = one.entry(index).payload.contentEquals(other.entry(index).payload)
-                    check(equal && one.termAt(index) == other.termAt(index)) { "expected equal entries at $index" }
+                    check(equal && one.termAt(index) == other.termAt(index)) {
+                        "expected equal entries at index $index, got different ones"
+                    }
                 }
             }
         }
