--- a/storage/src/main/kotlin/io/carawaytrack/storage/Disk.kt
+++ b/storage/src/main/kotlin/io/carawaytrack/storage/Disk.kt
@@ -1,6 +1,6 @@
 /*
- * The narrow interface to a disk that the log store writes through, and the closed list of what may go wrong there. A
- * disk is one flat folder of files; nothing counts as written until a call that promises durability has returned.
+ * The interface to the disk that the log store writes to, and the failures that storage calls report. A disk is one
+ * flat folder of files. Data is only guaranteed to be stored once a call that makes it durable has returned.
  */
 package io.carawaytrack.storage
 
@@ -9,10 +9,10 @@
     /** Returns the names of all files, sorted. */
     public fun list(): List<String>
 
-    /** Returns the whole content of the file [name], or null when it does not exist. */
+    /** Returns the content of the file [name], or null if it does not exist. */
     public fun read(name: String): ByteArray?
 
-    /** Opens the file [name] for appending; creates it durably when it does not exist. */
+    /** Opens the file [name] for appending; creates it durably if it does not exist. */
     public fun open(name: String): DiskFile
 
     /** Replaces the file [name] by [content] atomically and durably. */
@@ -30,41 +30,41 @@
     /** Appends [bytes], which are durable only after the next [sync]. */
     public fun append(bytes: ByteArray)
 
-    /** Makes durable all that was appended before the call. */
+    /** Makes all bytes appended before the call durable. */
     public fun sync()
 }
 
-/** Lists what a storage call may fail with. */
+/** A failure of a storage call. */
 public sealed interface StorageFailure {
-    /** What was expected and what was found. */
+    /** Describes what was expected and what was found. */
     public val detail: String
 
-    /** Tells that the folder holds no state: it is new, or the host has lost its disk. */
+    /** The folder contains no state, because it is new or because the host has lost its disk. */
     public data class EmptyFolder(
         override val detail: String,
     ) : StorageFailure
 
-    /** Tells that the folder to initialise already holds files. */
+    /** The folder to initialise already contains files. */
     public data class FolderNotEmpty(
         override val detail: String,
     ) : StorageFailure
 
-    /** Tells that another process has the folder open. */
+    /** Another process has the folder open. */
     public data class FolderInUse(
         override val detail: String,
     ) : StorageFailure
 
-    /** Tells that the folder belongs to another cluster or node. */
+    /** The folder belongs to another cluster or node. */
     public data class WrongIdentity(
         override val detail: String,
     ) : StorageFailure
 
-    /** Tells that state which was once durable can no longer be read. */
+    /** State that was durable can no longer be read. */
     public data class Corrupt(
         override val detail: String,
     ) : StorageFailure
 
-    /** Tells that the disk refused a call; what it holds since is unknown until the folder is opened again. */
+    /** A disk operation failed; the state on disk is unknown until the folder is reopened. */
     public data class DiskFailed(
         override val detail: String,
     ) : StorageFailure
--- a/storage/src/main/kotlin/io/carawaytrack/storage/FileDisk.kt
+++ b/storage/src/main/kotlin/io/carawaytrack/storage/FileDisk.kt
@@ -1,6 +1,6 @@
 /*
- * A disk over a folder of the file system. The folder is locked for as long as the disk is open, and a replaced file is
- * written beside its target, synced, renamed, and made durable by a sync of the folder.
+ * A disk that stores its files in a folder of the file system. The folder is locked while the disk is open. A file is
+ * replaced by writing and syncing a temporary file, renaming it, and syncing the folder.
  */
 package io.carawaytrack.storage
 
@@ -20,11 +20,11 @@
 private const val LOCK_FILE = "lock"
 private const val TEMPORARY_SUFFIX = ".tmp"
 
-/** Opens [folder], creating it if needed; fails with `FolderInUse` while another process or disk has it open. */
+/** Opens [folder] and creates it if needed; fails with `FolderInUse` while another process or disk has it open. */
 public fun openFileDisk(folder: Path): Result<Disk, StorageFailure> = try {
     Files.createDirectories(folder)
     lockFolder(folder)?.let { Ok(FolderDisk(folder, it)) }
-        ?: Err(StorageFailure.FolderInUse("expected to lock $folder, found it locked by another process"))
+        ?: Err(StorageFailure.FolderInUse("expected to lock $folder, but it is already locked"))
 } catch (failure: IOException) {
     Err(StorageFailure.DiskFailed("opening $folder failed: $failure"))
 }
@@ -32,13 +32,13 @@
 private fun lockFolder(folder: Path): FileChannel? {
     val channel =
         FileChannel.open(folder.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE)
-    val locked =
+    val isLocked =
         try {
             channel.tryLock() != null
         } catch (_: OverlappingFileLockException) {
             false
         }
-    if (locked) return channel
+    if (isLocked) return channel
     channel.close()
     return null
 }
@@ -84,8 +84,8 @@
 }
 
 /**
- * Replaces the file [name] of [folder] by [content]: after a loss of power it holds the old content or the new one, and
- * which of them is certain only once the folder has been synced. Throws [IOException].
+ * Replaces the file [name] in [folder] by [content] atomically: after a power failure it has either the old content or
+ * the new one. The new content is guaranteed only once the folder has been synced. Throws [IOException].
  */
 public fun replaceFile(
     folder: Path,
--- a/storage/src/main/kotlin/io/carawaytrack/storage/LogStore.kt
+++ b/storage/src/main/kotlin/io/carawaytrack/storage/LogStore.kt
@@ -1,8 +1,8 @@
 /*
- * The durable state of one replica: its identity, its term and vote, its newest snapshot, and the log since then in
- * append-only segments. A suffix of the log is replaced by appending entries with lower indices, so no written byte is
- * ever changed in place. After the first refusal by the disk the store refuses every later call, since what the disk
- * then holds is unknown.
+ * The durable state of one replica: its identity, its term and vote, its latest snapshot, and a write-ahead log of the
+ * entries since then in append-only segments. A suffix of the log is replaced by appending entries with lower indices,
+ * so written bytes are never changed in place. After the first disk failure the store refuses every later call, because
+ * the state on disk is then unknown.
  */
 package io.carawaytrack.storage
 
@@ -24,7 +24,8 @@
 /**
  * Identifies a data folder.
  *
- * @property incarnation random number drawn when the folder was initialised; tells a lost disk from its successor
+ * @property incarnation random number chosen when the folder was initialised; distinguishes a lost disk from the one
+ * that replaced it
  */
 public data class FolderIdentity(
     val clusterId: String,
@@ -32,16 +33,16 @@
     val incarnation: Long,
 )
 
-/** Holds the highest term that a replica has seen and whom it voted for in it. */
+/** The highest term that a replica has seen and the candidate that it voted for in that term. */
 public data class TermVote(
     val term: Long,
     val votedFor: NodeId?,
 )
 
 /**
- * Holds the state that all entries up to [index] lead to.
+ * A snapshot of the state after applying all entries up to [index].
  *
- * @property metadata what the owner of the log needs besides the state
+ * @property metadata data that the owner of the log stores with the state
  */
 public class StoredSnapshot(
     public val index: Long,
@@ -50,7 +51,7 @@
     public val state: ByteArray,
 )
 
-/** Holds what a folder held when it was opened; [entries] follow [snapshot] without a gap. */
+/** The state read from a folder when it was opened; [entries] follow [snapshot] without a gap. */
 public class RecoveredState(
     public val identity: FolderIdentity,
     public val termVote: TermVote,
@@ -58,38 +59,38 @@
     public val entries: List<LogEntry>,
 )
 
-/** Holds an opened store and what its folder held. */
+/** An opened store and the state recovered from its folder. */
 public class OpenedLog(
     public val store: LogStore,
     public val recovered: RecoveredState,
 )
 
-/** Makes the state of one replica durable; what a successful call was given survives a crash after its return. */
+/** Stores the state of one replica durably: the data passed to a successful call survives a crash after it returned. */
 public interface LogStore : AutoCloseable {
-    /** Appends [entries] with one sync; an index that the log already holds drops that entry and all after it. */
+    /** Appends [entries] with one sync; if the log already contains an index, truncates the log from there first. */
     public fun append(entries: List<LogEntry>): Result<Unit, StorageFailure>
 
     /** Replaces the term and the vote. */
     public fun saveTerm(termVote: TermVote): Result<Unit, StorageFailure>
 
-    /** Saves a [snapshot] of this log and deletes the segments with no entry from [firstKeptIndex] on. */
+    /** Saves a [snapshot] of this log and compacts it: deletes the oldest segments that end before [firstKeptIndex]. */
     public fun saveSnapshot(
         snapshot: StoredSnapshot,
         firstKeptIndex: Long,
     ): Result<Unit, StorageFailure>
 
-    /** Saves a [snapshot] made elsewhere and drops the whole log. */
+    /** Saves a [snapshot] received from another replica and drops the whole log. */
     public fun installSnapshot(snapshot: StoredSnapshot): Result<Unit, StorageFailure>
 }
 
-/** Writes the first state of a new replica; fails with `FolderNotEmpty` when [disk] holds any file. */
+/** Writes the initial state of a new replica; fails with `FolderNotEmpty` if [disk] contains any file. */
 public fun initialiseFolder(
     disk: Disk,
     identity: FolderIdentity,
-): Result<Unit, StorageFailure> = onDisk {
+): Result<Unit, StorageFailure> = diskCall {
     val found = disk.list()
     if (found.isNotEmpty()) {
-        return@onDisk Err(StorageFailure.FolderNotEmpty("expected an empty folder, found ${found.joinToString()}"))
+        return@diskCall Err(StorageFailure.FolderNotEmpty("expected an empty folder, found ${found.joinToString()}"))
     }
     disk.replace(segmentName(1), ByteArray(0))
     disk.replace(TERM_FILE, withChecksum(encodeTerm(TermVote(0, null))))
@@ -97,39 +98,39 @@
     Ok(Unit)
 }
 
-/** Returns the identity of the folder on [disk], or null when it was never initialised to the end. */
-public fun folderIdentity(disk: Disk): Result<FolderIdentity?, StorageFailure> = onDisk {
+/** Returns the identity of the folder on [disk], or null if its initialisation was never completed. */
+public fun folderIdentity(disk: Disk): Result<FolderIdentity?, StorageFailure> = diskCall {
     Ok(disk.read(IDENTITY_FILE)?.let { decodeIdentity(verifiedContent(IDENTITY_FILE, it)) })
 }
 
-/** Deletes every file on [disk], the identity first, so that the folder can be initialised under another one. */
-public fun clearFolder(disk: Disk): Result<Unit, StorageFailure> = onDisk {
+/** Deletes every file on [disk], the identity first, so that the folder can be initialised with another identity. */
+public fun clearFolder(disk: Disk): Result<Unit, StorageFailure> = diskCall {
     disk.delete(IDENTITY_FILE)
     disk.list().forEach(disk::delete)
     Ok(Unit)
 }
 
 /**
- * Opens the state of [node] on [disk], cutting off a write that was interrupted at the end of the log.
+ * Opens the state of [node] on [disk] and truncates a torn write at the end of the log.
  *
- * Fails with `EmptyFolder` when the folder was never initialised, with `WrongIdentity` when it belongs to another
- * cluster or node, and with `Corrupt` when something that was durable can't be read.
+ * Fails with `EmptyFolder` if the folder was never initialised, with `WrongIdentity` if it belongs to another cluster
+ * or node, and with `Corrupt` if state that was durable can't be read.
  */
 public fun openLogStore(
     disk: Disk,
     clusterId: String,
     node: NodeId,
     segmentBytes: Int = DEFAULT_SEGMENT_BYTES,
-): Result<OpenedLog, StorageFailure> = onDisk {
+): Result<OpenedLog, StorageFailure> = diskCall {
     readIdentity(disk, clusterId, node).andThen { identity -> Ok(openStore(disk, identity, segmentBytes)) }
 }
 
-private inline fun <T> onDisk(call: () -> Result<T, StorageFailure>): Result<T, StorageFailure> = try {
+private inline fun <T> diskCall(call: () -> Result<T, StorageFailure>): Result<T, StorageFailure> = try {
     call()
 } catch (failure: CorruptException) {
     Err(StorageFailure.Corrupt(failure.message.orEmpty()))
 } catch (failure: IOException) {
-    Err(StorageFailure.DiskFailed("the disk failed: $failure"))
+    Err(StorageFailure.DiskFailed("disk operation failed: $failure"))
 }
 
 private fun readIdentity(
@@ -141,7 +142,7 @@
         disk.read(IDENTITY_FILE)
             ?: return Err(
                 StorageFailure.EmptyFolder(
-                    "expected the state of $node, found no identity file; a host that has lost its disk must be " +
+                    "expected the state of $node, found no identity file; a host that lost its disk must be " +
                         "replaced by a learner under a new node identity",
                 ),
             )
@@ -149,7 +150,7 @@
     if (identity.clusterId == clusterId && identity.node == node) return Ok(identity)
     return Err(
         StorageFailure.WrongIdentity(
-            "expected cluster $clusterId and node $node, found ${identity.clusterId} and ${identity.node}",
+            "expected cluster $clusterId and node $node, got cluster ${identity.clusterId} and node ${identity.node}",
         ),
     )
 }
@@ -160,7 +161,7 @@
     segmentBytes: Int,
 ): OpenedLog {
     val snapshot = disk.read(SNAPSHOT_FILE)?.let { decodeSnapshot(verifiedContent(SNAPSHOT_FILE, it)) }
-    val termFile = disk.read(TERM_FILE) ?: throw CorruptException("expected the file $TERM_FILE, found none")
+    val termFile = disk.read(TERM_FILE) ?: throw CorruptException("expected the file $TERM_FILE, but it does not exist")
     val log = readLog(disk)
     val entries = entriesAfter(snapshot, log.entries)
     val recovered =
@@ -170,7 +171,7 @@
     return OpenedLog(store, recovered)
 }
 
-/** Returns the entries that follow [snapshot], or null when the snapshot replaces the whole log. */
+/** Returns the entries that follow [snapshot], or null if the snapshot replaces the whole log. */
 private fun entriesAfter(
     snapshot: StoredSnapshot?,
     entries: List<LogEntry>,
@@ -178,12 +179,12 @@
     val baseIndex = snapshot?.index ?: 0
     val first = entries.firstOrNull() ?: return emptyList()
     if (first.index > baseIndex + 1) {
-        throw CorruptException("expected the log to go on at index ${baseIndex + 1}, found ${first.index}")
+        throw CorruptException("expected the log to continue at index ${baseIndex + 1}, got ${first.index}")
     }
     if (snapshot == null) return entries
     if (entries.last().index < baseIndex) return null
-    val atBase = entries.firstOrNull { it.index == baseIndex }
-    if (atBase != null && atBase.term != snapshot.term) return null
+    val baseEntry = entries.firstOrNull { it.index == baseIndex }
+    if (baseEntry != null && baseEntry.term != snapshot.term) return null
     return entries.filter { it.index > baseIndex }
 }
 
@@ -193,38 +194,38 @@
     var sizeBytes: Long,
 )
 
-private class ReadLog(
+private class ScannedLog(
     val segments: List<Segment>,
     val entries: List<LogEntry>,
 )
 
-private fun readLog(disk: Disk): ReadLog {
+private fun readLog(disk: Disk): ScannedLog {
     val numbers = disk.list().filter { it.startsWith(SEGMENT_PREFIX) }.map { it.removePrefix(SEGMENT_PREFIX).toLong() }
     if (numbers.isEmpty()) throw CorruptException("expected at least one log segment, found none")
     val entries = ArrayList<LogEntry>()
     val segments =
         numbers.mapIndexed { position, number ->
             if (number != numbers.first() + position) {
-                throw CorruptException("expected segment ${numbers.first() + position}, found $number")
+                throw CorruptException("expected log segment ${numbers.first() + position}, got $number")
             }
-            readSegment(disk, number, last = position == numbers.lastIndex, entries)
+            readSegment(disk, number, isLast = position == numbers.lastIndex, entries)
         }
-    return ReadLog(segments, entries)
+    return ScannedLog(segments, entries)
 }
 
 private fun readSegment(
     disk: Disk,
     number: Long,
-    last: Boolean,
+    isLast: Boolean,
     entries: ArrayList<LogEntry>,
 ): Segment {
     val name = segmentName(number)
-    val content = disk.read(name) ?: throw CorruptException("expected the file $name, found none")
-    val scanned = scanSegment(name, content, mayEndTorn = last)
+    val content = disk.read(name) ?: throw CorruptException("expected the file $name, but it does not exist")
+    val scanned = scanSegment(name, content, allowTornWrite = isLast)
     scanned.records.forEach { replay(it, entries, name) }
-    // Written anew, because after a failed sync the system's cache may show bytes that the disk does not hold.
-    if (last) disk.replace(name, content.copyOf(scanned.wholeBytes))
-    return Segment(number, scanned.records.maxOfOrNull { it.index } ?: 0, scanned.wholeBytes.toLong())
+    // Rewritten, because after a failed sync the page cache may return bytes that are not on the disk.
+    if (isLast) disk.replace(name, content.copyOf(scanned.validBytes))
+    return Segment(number, scanned.records.maxOfOrNull { it.index } ?: 0, scanned.validBytes.toLong())
 }
 
 private fun replay(
@@ -238,7 +239,7 @@
     }
     val last = entries.lastOrNull()
     if (last != null && record.index > last.index + 1) {
-        throw CorruptException("expected index ${last.index + 1} in $name, found ${record.index}")
+        throw CorruptException("expected index ${last.index + 1} in $name, got ${record.index}")
     }
     while (entries.isNotEmpty() && entries.last().index >= record.index) entries.removeLast()
     entries += record
@@ -279,7 +280,7 @@
         disk.close()
     }
 
-    /** Makes the log go on after [snapshot]; what it held before is void once the new segment is durable. */
+    /** Starts a new segment after [snapshot]; entries before it are obsolete once the new segment is durable. */
     fun dropLog(snapshot: StoredSnapshot) {
         startSegment()
         write(listOf(LogEntry.reset(snapshot.index, snapshot.term)))
@@ -302,9 +303,9 @@
         segments += Segment(number, 0, 0)
     }
 
-    /** Deletes segments from the oldest on as long as [void] holds, but never the one being written. */
-    private fun deleteSegments(void: (Segment) -> Boolean) {
-        while (segments.size > 1 && void(segments.first())) {
+    /** Deletes segments from the oldest on while [isObsolete] returns true, but never the current one. */
+    private fun deleteSegments(isObsolete: (Segment) -> Boolean) {
+        while (segments.size > 1 && isObsolete(segments.first())) {
             disk.delete(segmentName(segments.first().number))
             segments.removeFirst()
         }
@@ -312,7 +313,7 @@
 
     private inline fun durably(call: () -> Unit): Result<Unit, StorageFailure> {
         failure?.let { return Err(it) }
-        return onDisk { Ok(call()) }.onFailure { failure = it }
+        return diskCall { Ok(call()) }.onFailure { failure = it }
     }
 }
 
--- a/storage/src/main/kotlin/io/carawaytrack/storage/RecordBatch.kt
+++ b/storage/src/main/kotlin/io/carawaytrack/storage/RecordBatch.kt
@@ -1,8 +1,8 @@
 /*
- * The form of a log segment on disk: batches, each written by one append and made durable by one sync. A batch has a
- * header with its own checksum, so that a damaged length is never followed, and a checksum over its records. Since a
- * batch is only written once the one before it is durable, damage can come from an interrupted write in the last batch
- * alone; damage anywhere else, or damage that no interrupted write leaves, is reported as corruption.
+ * The on-disk format of a log segment. A segment consists of batches of records, each written by one append and made
+ * durable by one sync. A batch has a header with its own checksum, so that a damaged length is never used, and a
+ * checksum over its records. A batch is only written once the previous one is durable, so a torn write can only affect
+ * the last batch. Damage anywhere else, or damage that a torn write can't cause, is reported as corruption.
  */
 package io.carawaytrack.storage
 
@@ -12,17 +12,17 @@
 
 private const val MAGIC = 0x43_57_4C_31
 private const val HEADER_BYTES = 24
-private const val HASHED_HEADER_BYTES = 16
+private const val CHECKSUMMED_HEADER_BYTES = 16
 private const val RECORD_HEADER_BYTES = 21
 private const val SECTOR_BYTES = 512
 private const val RESET_KIND: Byte = -1
 
 /**
- * Holds one entry of the replicated log.
+ * One entry of the replicated log.
  *
  * @property index position in the log, from 1
- * @property term term of the leader that appended it
- * @property kind tells the owner of the log how to read [payload]; not negative
+ * @property term term of the leader that created the entry
+ * @property kind tag by which the owner of the log interprets [payload]; not negative
  */
 public class LogEntry(
     public val index: Long,
@@ -30,7 +30,7 @@
     public val kind: Byte,
     public val payload: ByteArray,
 ) {
-    /** Whether this entry discards all before it, left by a snapshot that replaced the log. */
+    /** Whether this entry discards all entries before it; written when a snapshot replaces the log. */
     internal val isReset: Boolean get() = kind == RESET_KIND
 
     override fun toString(): String = "LogEntry($index, term $term, kind $kind, ${payload.size} bytes)"
@@ -43,18 +43,18 @@
     }
 }
 
-/** Holds the records read from a segment and the length of the part that is whole. */
+/** The records read from a segment, and the length of the part without a torn write. */
 internal class ScannedSegment(
     val records: List<LogEntry>,
-    val wholeBytes: Int,
+    val validBytes: Int,
 )
 
-/** Carries a corruption finding up to the boundary of the store. */
+/** Reports corrupt data; converted to [StorageFailure.Corrupt] at the API of the store. */
 internal class CorruptException(
     message: String,
 ) : IOException(message)
 
-/** Returns the checksum under which stored and sent state is compared. */
+/** Returns the XXH3 64-bit checksum used for stored and transmitted data. */
 public fun checksum(
     bytes: ByteArray,
     offset: Int = 0,
@@ -70,26 +70,26 @@
     }
     val batch = ByteBuffer.allocate(HEADER_BYTES + bodyBytes)
     batch.putInt(MAGIC).putInt(bodyBytes).putLong(checksum(body.array()))
-    batch.putLong(checksum(batch.array(), 0, HASHED_HEADER_BYTES)).put(body.array())
+    batch.putLong(checksum(batch.array(), 0, CHECKSUMMED_HEADER_BYTES)).put(body.array())
     return batch.array()
 }
 
 /**
- * Reads the segment [name]. An interrupted write at its end is left out when [mayEndTorn]; any other damage throws
+ * Reads the segment [name]. A torn write at its end is ignored if [allowTornWrite] is set; any other damage throws
  * [CorruptException].
  */
 internal fun scanSegment(
     name: String,
     content: ByteArray,
-    mayEndTorn: Boolean,
+    allowTornWrite: Boolean,
 ): ScannedSegment {
     val records = mutableListOf<LogEntry>()
     var offset = 0
     while (offset < content.size) {
-        val end = batchEnd(content, offset)
+        val end = intactBatchEnd(content, offset)
         if (end == null) {
-            if (mayEndTorn && isTorn(content, offset)) break
-            throw CorruptException("expected a whole batch at byte $offset of $name, found a damaged one")
+            if (allowTornWrite && isTornWrite(content, offset)) break
+            throw CorruptException("expected an intact batch at byte $offset of $name, found a damaged one")
         }
         decodeRecords(content, offset + HEADER_BYTES, end, records)
         offset = end
@@ -97,8 +97,8 @@
     return ScannedSegment(records, offset)
 }
 
-/** Returns the end of the whole batch at [offset], or null when none stands there. */
-private fun batchEnd(
+/** Returns the end of the intact batch at [offset], or null if there is none. */
+private fun intactBatchEnd(
     content: ByteArray,
     offset: Int,
 ): Int? {
@@ -109,7 +109,7 @@
     return end.toInt().takeIf { checksum(content, bodyOffset, it - bodyOffset) == bodyChecksum }
 }
 
-/** Returns where the batch at [offset] should end by its header, or null when the header is damaged. */
+/** Returns the end of the batch at [offset] according to its header, or null if the header is damaged. */
 private fun declaredEnd(
     content: ByteArray,
     offset: Int,
@@ -119,28 +119,28 @@
     val magic = header.getInt()
     val bodyBytes = header.getInt()
     header.getLong()
-    val valid = magic == MAGIC && header.getLong() == checksum(content, offset, HASHED_HEADER_BYTES)
-    return if (valid && bodyBytes >= 0) offset + HEADER_BYTES + bodyBytes.toLong() else null
+    val isValid = magic == MAGIC && header.getLong() == checksum(content, offset, CHECKSUMMED_HEADER_BYTES)
+    return if (isValid && bodyBytes >= 0) offset + HEADER_BYTES + bodyBytes.toLong() else null
 }
 
-/** Returns whether the damage at [offset] can stem from a write that was interrupted before its sync returned. */
-private fun isTorn(
+/** Returns whether the damage at [offset] can be caused by a torn write, one interrupted before its sync returned. */
+private fun isTornWrite(
     content: ByteArray,
     offset: Int,
 ): Boolean {
     if (content.size - offset < HEADER_BYTES) return true
     val end = declaredEnd(content, offset) ?: content.size.toLong()
-    val endsShort = end > content.size
-    return (endsShort || hasBlankSector(content, offset)) && !holdsBatchAfter(content, offset)
+    val isTruncated = end > content.size
+    return (isTruncated || hasZeroedSector(content, offset)) && !hasIntactBatchAfter(content, offset)
 }
 
-private fun holdsBatchAfter(
+private fun hasIntactBatchAfter(
     content: ByteArray,
     offset: Int,
-): Boolean = (offset + 1..content.size - HEADER_BYTES).any { batchEnd(content, it) != null }
+): Boolean = (offset + 1..content.size - HEADER_BYTES).any { intactBatchEnd(content, it) != null }
 
-/** Returns whether a disk sector from [offset] on holds only zeros: the file had grown, its data had not arrived. */
-private fun hasBlankSector(
+/** Returns whether a disk sector from [offset] on is all zeros: the file was extended, but its data was not written. */
+private fun hasZeroedSector(
     content: ByteArray,
     offset: Int,
 ): Boolean {
@@ -157,7 +157,7 @@
     content: ByteArray,
     start: Int,
     end: Int,
-    into: MutableList<LogEntry>,
+    target: MutableList<LogEntry>,
 ) {
     val body = ByteBuffer.wrap(content, start, end - start)
     while (body.hasRemaining()) {
@@ -166,6 +166,6 @@
         val kind = body.get()
         val payload = ByteArray(body.getInt())
         body.get(payload)
-        into += LogEntry(index, term, kind, payload)
+        target += LogEntry(index, term, kind, payload)
     }
 }
--- a/storage/src/main/kotlin/io/carawaytrack/storage/StateFiles.kt
+++ b/storage/src/main/kotlin/io/carawaytrack/storage/StateFiles.kt
@@ -1,32 +1,32 @@
 /*
- * The form on disk of the small files beside the log: identity, term and vote, snapshot. Each is replaced as a whole
- * and carries a checksum over its content.
+ * The on-disk format of the files beside the log: identity, term and vote, and snapshot. Each file is replaced as a
+ * whole and starts with a checksum over its content.
  */
 package io.carawaytrack.storage
 
 import io.carawaytrack.model.NodeId
 import java.nio.ByteBuffer
 
-/** Returns [content] behind its checksum. */
+/** Returns [content] with its checksum prepended. */
 public fun withChecksum(content: ByteArray): ByteArray = ByteBuffer
     .allocate(Long.SIZE_BYTES + content.size)
     .putLong(checksum(content))
     .put(content)
     .array()
 
-/** Returns the content of what [withChecksum] made, or null when there is none or the checksum doesn't match. */
-public fun verifiedContent(sealed: ByteArray): ByteBuffer? {
-    val contentBytes = sealed.size - Long.SIZE_BYTES
-    val whole =
-        contentBytes > 0 && ByteBuffer.wrap(sealed).getLong() == checksum(sealed, Long.SIZE_BYTES, contentBytes)
-    return if (whole) ByteBuffer.wrap(sealed, Long.SIZE_BYTES, contentBytes) else null
+/** Returns the content of [bytes] made by [withChecksum], or null if it is empty or the checksum does not match. */
+public fun verifiedContent(bytes: ByteArray): ByteBuffer? {
+    val contentBytes = bytes.size - Long.SIZE_BYTES
+    val isIntact =
+        contentBytes > 0 && ByteBuffer.wrap(bytes).getLong() == checksum(bytes, Long.SIZE_BYTES, contentBytes)
+    return if (isIntact) ByteBuffer.wrap(bytes, Long.SIZE_BYTES, contentBytes) else null
 }
 
 internal fun verifiedContent(
     name: String,
-    sealed: ByteArray,
-): ByteBuffer = verifiedContent(sealed)
-    ?: throw CorruptException("expected the checksum of $name to match its ${sealed.size} bytes, found another")
+    bytes: ByteArray,
+): ByteBuffer = verifiedContent(bytes)
+    ?: throw CorruptException("expected the checksum of $name to match its ${bytes.size} bytes, got a mismatch")
 
 internal fun encodeTerm(termVote: TermVote): ByteArray {
     val vote =
--- a/storage/src/test/kotlin/io/carawaytrack/storage/LogStoreTest.kt
+++ b/storage/src/test/kotlin/io/carawaytrack/storage/LogStoreTest.kt
@@ -1,5 +1,5 @@
 /*
- * What a folder holds after it was closed, interrupted, damaged or refused by its disk.
+ * Recovery of a folder after a regular close, an interrupted write, damage or a disk failure.
  */
 package io.carawaytrack.storage
 
@@ -37,7 +37,7 @@
     private val identity = FolderIdentity("test", node, incarnation = 7)
 
     @Test
-    fun `a reopened folder holds its identity, term, vote and entries`() {
+    fun `a reopened folder contains its identity, term, vote and entries`() {
         initialise()
         open().use { store ->
             store.saveTerm(TermVote(3, NodeId("c2"))).unwrap()
@@ -50,7 +50,7 @@
     }
 
     @Test
-    fun `entries with lower indices replace the suffix`() {
+    fun `entries with lower indices replace the suffix of the log`() {
         initialise()
         open().use { store ->
             store.append(entries(1..6, term = 1)).unwrap()
@@ -61,7 +61,7 @@
     }
 
     @Test
-    fun `a snapshot drops the segments before it and the log goes on`() {
+    fun `a snapshot deletes the segments before it and keeps the entries after it`() {
         initialise()
         open(segmentBytes = 64).use { store ->
             (1..40).forEach { store.append(entries(it..it, term = 1)).unwrap() }
@@ -89,15 +89,15 @@
     }
 
     @TestFactory
-    fun `an installed snapshot whose drop of the log was interrupted is completed on opening`() =
-        listOf("open log-11", "append log-11", "sync log-11", "delete log-1", "delete log-4").map { refused ->
-            dynamicTest("$refused refused") {
+    fun `an interrupted installation of a snapshot is completed when the folder is opened`() =
+        listOf("open log-11", "append log-11", "sync log-11", "delete log-1", "delete log-4").map { failingCall ->
+            dynamicTest("$failingCall fails") {
                 Files.list(folder).use { it.toList() }.forEach(Files::delete)
                 initialise()
                 open(segmentBytes = 64).use { store ->
                     (1..20).forEach { store.append(entries(it..it, term = 1)).unwrap() }
                 }
-                val disk = FaultyDisk(openFileDisk(folder).unwrap()) { it == refused }
+                val disk = FaultyDisk(openFileDisk(folder).unwrap()) { it == failingCall }
                 openLogStore(disk, "test", node, segmentBytes = 64).unwrap().store.use { store ->
                     val installed = store.installSnapshot(StoredSnapshot(2, 2, ByteArray(0), ByteArray(0)))
                     expectThat(installed.getError()).isNotNull().isA<StorageFailure.DiskFailed>()
@@ -107,17 +107,17 @@
         }
 
     @TestFactory
-    fun `a last write cut at any byte is cut off and everything before it is kept`() = run {
+    fun `a last write torn at any byte is truncated and everything before it is kept`() = run {
         initialise()
         open().use { store ->
             store.append(entries(1..3, term = 1)).unwrap()
             store.append(entries(4..5, term = 1)).unwrap()
         }
-        val whole = segments().single().readBytes()
+        val intact = segments().single().readBytes()
         val lastBatchBytes = encodeBatch(entries(4..5, term = 1)).size
-        (0 until lastBatchBytes step 5).map { kept ->
-            dynamicTest("$kept of $lastBatchBytes bytes arrived") {
-                segments().single().writeBytes(whole.copyOf(whole.size - lastBatchBytes + kept))
+        (0 until lastBatchBytes step 5).map { written ->
+            dynamicTest("$written of $lastBatchBytes bytes written") {
+                segments().single().writeBytes(intact.copyOf(intact.size - lastBatchBytes + written))
                 expectThat(recover().entries.map(::describe)).isEqualTo(described(1..3, term = 1))
                 open().use { expectThat(it.append(entries(4..4, term = 2)).isOk).isEqualTo(true) }
                 expectThat(recover().entries).hasSize(4)
@@ -126,7 +126,7 @@
     }
 
     @Test
-    fun `a last write whose file grew but whose data did not arrive is cut off`() {
+    fun `a last write that extended the file but did not write its data is truncated`() {
         initialise()
         open().use { it.append(entries(1..3, term = 1)).unwrap() }
         val segment = segments().single()
@@ -140,13 +140,13 @@
     )
 
     @TestFactory
-    fun `damage that no interrupted write leaves is an error`() = listOf(
+    fun `damage that a torn write cannot cause is reported as corruption`() = listOf(
         Damage("a flipped byte in the first batch") { flip(it.first(), position = 30) },
         Damage("a flipped byte in a batch's header") { flip(it.first(), position = 5) },
         Damage(
             "a flipped byte in the last batch",
         ) { flip(it.last(), position = Files.size(it.last()).toInt() - 1) },
-        Damage("a cut segment that is not the last") {
+        Damage("a truncated segment that is not the last") {
             it.first().writeBytes(
                 it
                     .first()
@@ -160,7 +160,7 @@
         Damage("no segment at all") { it.forEach(Files::delete) },
         Damage("a flipped byte in the term") { flip(it.first().resolveSibling("term"), position = 9) },
         Damage("a missing term") { Files.delete(it.first().resolveSibling("term")) },
-        Damage("a blanked sector before a whole batch") { segments ->
+        Damage("a zeroed sector before an intact batch") { segments ->
             val content = segments.last().readBytes()
             segments.last().writeBytes(ByteArray(600) + content)
         },
@@ -177,7 +177,7 @@
     }
 
     @Test
-    fun `a folder that was never initialised is refused with the way to replace the host`() {
+    fun `a folder that was never initialised is refused with instructions to replace the host`() {
         expectThat(tryOpen().getError())
             .isNotNull()
             .isA<StorageFailure.EmptyFolder>()
@@ -186,7 +186,7 @@
     }
 
     @Test
-    fun `a folder that holds files is not initialised again`() {
+    fun `a folder that contains files is not initialised again`() {
         initialise()
         openFileDisk(folder).unwrap().use { disk ->
             expectThat(initialiseFolder(disk, identity).getError()).isNotNull().isA<StorageFailure.FolderNotEmpty>()
@@ -204,7 +204,7 @@
     }
 
     @Test
-    fun `a folder is open once at a time`() {
+    fun `a folder can't be opened twice at the same time`() {
         openFileDisk(folder).unwrap().use {
             expectThat(openFileDisk(folder).getError()).isNotNull().isA<StorageFailure.FolderInUse>()
         }
@@ -212,16 +212,16 @@
     }
 
     @TestFactory
-    fun `after one refusal by the disk the store refuses every later call`() =
-        listOf("sync log-1", "append log-1", "replace term").map { refused ->
-            dynamicTest("$refused refused") {
+    fun `after one disk failure the store refuses every later call`() =
+        listOf("sync log-1", "append log-1", "replace term").map { failingCall ->
+            dynamicTest("$failingCall fails") {
                 Files.list(folder).use { it.toList() }.forEach(Files::delete)
                 initialise()
                 var failing = true
-                val disk = FaultyDisk(openFileDisk(folder).unwrap()) { failing && it == refused }
+                val disk = FaultyDisk(openFileDisk(folder).unwrap()) { failing && it == failingCall }
                 openLogStore(disk, "test", node).unwrap().store.use { store ->
                     val first =
-                        if (refused ==
+                        if (failingCall ==
                             "replace term"
                         ) {
                             store.saveTerm(TermVote(2, null))
@@ -274,22 +274,22 @@
     }
 }
 
-/** Refuses the calls that [refuse] names, such as `sync log-1`. */
+/** Fails the calls for which [shouldFail] returns true; calls have names such as `sync log-1`. */
 private class FaultyDisk(
     private val disk: Disk,
-    private val refuse: (String) -> Boolean,
+    private val shouldFail: (String) -> Boolean,
 ) : Disk by disk {
     override fun open(name: String): DiskFile {
-        attempt("open", name)
+        failIfInjected("open", name)
         val file = disk.open(name)
         return object : DiskFile by file {
             override fun append(bytes: ByteArray) {
-                attempt("append", name)
+                failIfInjected("append", name)
                 file.append(bytes)
             }
 
             override fun sync() {
-                attempt("sync", name)
+                failIfInjected("sync", name)
                 file.sync()
             }
         }
@@ -299,20 +299,20 @@
         name: String,
         content: ByteArray,
     ) {
-        attempt("replace", name)
+        failIfInjected("replace", name)
         disk.replace(name, content)
     }
 
     override fun delete(name: String) {
-        attempt("delete", name)
+        failIfInjected("delete", name)
         disk.delete(name)
     }
 
-    private fun attempt(
+    private fun failIfInjected(
         call: String,
         name: String,
     ) {
         val shortName = name.replace(Regex("-0+"), "-")
-        if (refuse("$call $shortName")) throw IOException("injected: $call $shortName")
+        if (shouldFail("$call $shortName")) throw IOException("injected: $call $shortName")
     }
 }
