--- a/ledger/src/main/kotlin/io/carawaytrack/ledger/Ledger.kt
+++ b/ledger/src/main/kotlin/io/carawaytrack/ledger/Ledger.kt
@@ -1,7 +1,7 @@
 /*
- * The request ledger: which requests were begun, how they ended, which version each session runs on, and the bills. It
- * is a deterministic state machine, split into shards by organisation; a shard is changed under its own lock, so that
- * reads for operators do not stop the log.
+ * The request ledger records which requests were started, their outcomes, the model version that each session is pinned
+ * to, and the bills. It is a deterministic state machine, partitioned into shards by organisation. Each shard has its
+ * own lock, so that reads by operators do not block the application of log entries.
  */
 package io.carawaytrack.ledger
 
@@ -17,9 +17,9 @@
 
 private const val SHARDS = 16
 
-/** Holds the ledger's records. */
+/** Stores the records of requests, sessions and bills. */
 public interface Ledger {
-    /** Applies [command]; [stateOf] tells the state of a version at this point of the log. */
+    /** Applies [command]; [stateOf] returns the state of a version at this position of the log. */
     public fun apply(
         command: LedgerCommand,
         stateOf: (ModelVersion) -> VersionState,
@@ -28,7 +28,7 @@
     /** Returns the bills of [organisation], oldest first. */
     public fun bills(organisation: OrganisationName): List<Bill>
 
-    /** Counts the records held. */
+    /** Returns the number of records. */
     public fun size(): LedgerSize
 
     /** Returns all records. */
@@ -38,7 +38,7 @@
     public fun restore(snapshot: LedgerSnapshot)
 }
 
-/** Counts what a ledger holds. */
+/** Numbers of records in a ledger. */
 public data class LedgerSize(
     val requests: Int,
     val sessions: Int,
@@ -54,9 +54,10 @@
 )
 
 /**
- * Records one request.
+ * The record of one request.
  *
- * @property shared whether more than one entry has been allowed to run it, so that none can tell that nothing ran
+ * @property shared whether more than one entry has been allowed to run it, so that no single entry can be certain that
+ * it was not executed
  */
 @Serializable
 public data class RequestRecord(
@@ -73,7 +74,7 @@
     val answer: StoredAnswer? = null,
 )
 
-/** Records the version of a session. */
+/** The version that a session is pinned to. */
 @Serializable
 public data class SessionPin(
     val session: SessionId,
@@ -81,14 +82,14 @@
     val atMillis: Long,
 )
 
-/** Records a bill and when it was made. */
+/** A bill and the time at which it was recorded. */
 @Serializable
 public data class BillRecord(
     val bill: Bill,
     val atMillis: Long,
 )
 
-/** Holds the records of one organisation. */
+/** The records of one organisation. */
 @Serializable
 public data class OrganisationRecords(
     val organisation: OrganisationName,
@@ -97,7 +98,7 @@
     val bills: List<BillRecord>,
 )
 
-/** Holds all records of a ledger. */
+/** All records of a ledger. */
 @Serializable
 public data class LedgerSnapshot(
     val organisations: List<OrganisationRecords>,
@@ -138,18 +139,18 @@
     fun apply(
         command: LedgerCommand,
         stateOf: (ModelVersion) -> VersionState,
-    ): LedgerReply = lock.withLock { of(command.organisation).apply(command, stateOf) }
+    ): LedgerReply = lock.withLock { ledgerOf(command.organisation).apply(command, stateOf) }
 
     fun bills(organisation: OrganisationName): List<Bill> =
         lock.withLock { organisations[organisation]?.bills().orEmpty() }
 
     fun size(): LedgerSize = lock.withLock {
-        val held = organisations.values
+        val ledgers = organisations.values
         LedgerSize(
-            held.sumOf(OrganisationLedger::requestCount),
-            held.sumOf(OrganisationLedger::sessionCount),
-            held.sumOf(OrganisationLedger::billCount),
-            held.sumOf(OrganisationLedger::openCount),
+            ledgers.sumOf(OrganisationLedger::requestCount),
+            ledgers.sumOf(OrganisationLedger::sessionCount),
+            ledgers.sumOf(OrganisationLedger::billCount),
+            ledgers.sumOf(OrganisationLedger::openCount),
         )
     }
 
@@ -158,7 +159,7 @@
 
     fun clear(): Unit = lock.withLock { organisations.clear() }
 
-    fun restore(records: OrganisationRecords): Unit = lock.withLock { of(records.organisation).restore(records) }
+    fun restore(records: OrganisationRecords): Unit = lock.withLock { ledgerOf(records.organisation).restore(records) }
 
-    private fun of(organisation: OrganisationName) = organisations.getOrPut(organisation, ::OrganisationLedger)
+    private fun ledgerOf(organisation: OrganisationName) = organisations.getOrPut(organisation, ::OrganisationLedger)
 }
--- a/ledger/src/main/kotlin/io/carawaytrack/ledger/LedgerMessage.kt
+++ b/ledger/src/main/kotlin/io/carawaytrack/ledger/LedgerMessage.kt
@@ -1,6 +1,6 @@
 /*
- * The commands of the request ledger and their replies. Entries and agents send them to the leading control host, which
- * commits them through the replicated log; sending one again has the same effect as sending it once.
+ * The commands of the request ledger and their replies. Entries and agents send commands to the leading control host,
+ * which commits them through the replicated log. Commands are idempotent.
  */
 @file:OptIn(kotlinx.serialization.ExperimentalSerializationApi::class)
 
@@ -16,21 +16,21 @@
 import kotlinx.serialization.cbor.ByteString
 import kotlinx.serialization.cbor.Cbor
 
-/** Changes the ledger. */
+/** A command that changes the ledger. */
 @Serializable
 public sealed interface LedgerCommand {
-    /** Organisation to whose shard the command belongs. */
+    /** The organisation whose records the command changes. */
     public val organisation: OrganisationName
 
     /**
      * Records the intent to run a request, before anything is sent to an upstream.
      *
-     * @property request proposed by the entry; when [key] was used before, the reply carries the first one
-     * @property key the caller's idempotency key
-     * @property digest digest of method, path and body, by which another request under the same key is told apart
-     * @property session session to be pinned to [version], when it has no version yet; a key keeps its first session
-     * @property repeatable whether the request may run again when its first outcome is unknown
-     * @property timeoutMillis bound on the run; an intent older than this is no longer in progress
+     * @property request identifier proposed by the entry; if [key] was used before, the reply has the original one
+     * @property key idempotency key of the caller
+     * @property digest digest of method, path and body, used to detect reuse of a key for a different request
+     * @property session session to pin to [version] if it is not pinned yet; a key stays bound to its first session
+     * @property repeatable whether the request may be retried when the outcome of an earlier attempt is unknown
+     * @property timeoutMillis maximum duration of the run; an older intent no longer counts as in progress
      */
     @Serializable
     @SerialName("b")
@@ -46,7 +46,7 @@
         val atMillis: Long,
     ) : LedgerCommand
 
-    /** Records how a request ended, and its bill; the first record stands. */
+    /** Records the outcome of a request and its bill; later outcomes and bills of the same request are ignored. */
     @Serializable
     @SerialName("f")
     public data class Finish(
@@ -58,8 +58,8 @@
     ) : LedgerCommand
 
     /**
-     * Withdraws an intent of which its entry is certain that nothing ran, so that a resend may run. An intent that
-     * another entry was allowed to run too stays.
+     * Withdraws an intent whose entry is certain that nothing was executed, so that a retry may run. An intent that
+     * another entry was also allowed to run is kept.
      */
     @Serializable
     @SerialName("a")
@@ -68,7 +68,7 @@
         val request: RequestId,
     ) : LedgerCommand
 
-    /** Drops records and pins older than [beforeMillis]. */
+    /** Deletes requests, session pins and bills older than [beforeMillis]. */
     @Serializable
     @SerialName("x")
     public data class Expire(
@@ -78,9 +78,9 @@
 }
 
 /**
- * Holds an answer for a resend of its request.
+ * A stored answer that is returned for retries of its request.
  *
- * @property body null when it was over the limit that the ledger keeps
+ * @property body the response body, or null if it was larger than [MAX_STORED_ANSWER_BYTES]
  */
 @Serializable
 public class StoredAnswer(
@@ -90,13 +90,13 @@
     public val version: ModelVersion,
 )
 
-/** Largest body that the ledger keeps for a resend, in bytes. */
+/** Maximum size of an answer's body that the ledger stores for retries. */
 public const val MAX_STORED_ANSWER_BYTES: Int = 64 * 1024
 
-/** Answers a [LedgerCommand]. */
+/** The reply to a [LedgerCommand]. */
 @Serializable
 public sealed interface LedgerReply {
-    /** Allows the request to be sent to an upstream, as [request] on [version]. */
+    /** Allows the entry to send the request to an upstream, as [request] on [version]. */
     @Serializable
     @SerialName("s")
     public data class Started(
@@ -105,7 +105,7 @@
         val pinned: Boolean,
     ) : LedgerReply
 
-    /** Returns the outcome of an earlier request under the same key. */
+    /** Replays the stored answer of an earlier request with the same key. */
     @Serializable
     @SerialName("r")
     public data class Replayed(
@@ -113,31 +113,31 @@
         val answer: StoredAnswer,
     ) : LedgerReply
 
-    /** Tells that a request under the same key is still running. */
+    /** Reports that a request with the same key is still running. */
     @Serializable
     @SerialName("i")
     public data class InProgress(
         val request: RequestId,
     ) : LedgerReply
 
-    /** Tells that a request under the same key may have run and must not run again. */
+    /** Reports that a request with the same key may have been executed and must not run again. */
     @Serializable
     @SerialName("u")
     public data class OutcomeUnknown(
         val request: RequestId,
     ) : LedgerReply
 
-    /** Tells that the key was used for another request. */
+    /** Reports that the key was used for a different request or in a different session. */
     @Serializable
     @SerialName("c")
     public data object Conflicting : LedgerReply
 
-    /** Tells that the proposed version may not start new work; the entry plans again. */
+    /** Reports that the version to run on must not start new work; the entry has to select a version again. */
     @Serializable
     @SerialName("v")
     public data object VersionUnavailable : LedgerReply
 
-    /** Confirms a record; [first] is false when it was there already. */
+    /** Confirms a command; [first] is false if it changed nothing, for example because it was applied before. */
     @Serializable
     @SerialName("d")
     public data class Done(
@@ -150,12 +150,12 @@
 /** Encodes this command for the replicated log. */
 public fun LedgerCommand.encode(): ByteArray = cbor.encodeToByteArray(LedgerCommand.serializer(), this)
 
-/** Decodes a command. */
+/** Decodes a command encoded by [LedgerCommand.encode]. */
 public fun decodeLedgerCommand(bytes: ByteArray): LedgerCommand =
     cbor.decodeFromByteArray(LedgerCommand.serializer(), bytes)
 
-/** Encodes this reply. */
+/** Encodes this reply for the sender of the command. */
 public fun LedgerReply.encode(): ByteArray = cbor.encodeToByteArray(LedgerReply.serializer(), this)
 
-/** Decodes a reply. */
+/** Decodes a reply encoded by [LedgerReply.encode]. */
 public fun decodeLedgerReply(bytes: ByteArray): LedgerReply = cbor.decodeFromByteArray(LedgerReply.serializer(), bytes)
--- a/ledger/src/main/kotlin/io/carawaytrack/ledger/OrganisationLedger.kt
+++ b/ledger/src/main/kotlin/io/carawaytrack/ledger/OrganisationLedger.kt
@@ -1,5 +1,5 @@
 /*
- * The records of one organisation and the rules by which a command changes them. The caller holds the shard's lock.
+ * The records of one organisation and the rules for changing them. Callers must hold the lock of the shard.
  */
 package io.carawaytrack.ledger
 
@@ -38,7 +38,7 @@
         stateOf: (ModelVersion) -> VersionState,
     ): LedgerReply {
         val earlier = earlierRequest(command)
-        if (earlier != null) return resend(command, earlier, stateOf)
+        if (earlier != null) return replyToRetry(command, earlier, stateOf)
         val pin = command.session?.let(sessions::get)
         val version = pin?.version ?: command.version
         if (!mayRun(stateOf(version), pinned = pin != null)) return LedgerReply.VersionUnavailable
@@ -49,13 +49,13 @@
         return LedgerReply.Started(command.request, version, command.session != null)
     }
 
-    // The entry resends a Begin whose reply was lost under the same request, with or without a key.
+    // An entry that lost the reply to a Begin command resends it with the same request identifier, even without a key.
     private fun earlierRequest(command: LedgerCommand.Begin): RequestRecord? {
         val request = command.key?.let(requestByKey::get) ?: command.request
         return requests[request]
     }
 
-    private fun resend(
+    private fun replyToRetry(
         command: LedgerCommand.Begin,
         earlier: RequestRecord,
         stateOf: (ModelVersion) -> VersionState,
@@ -64,32 +64,29 @@
         return when {
             !earlier.matches(command) -> LedgerReply.Conflicting
             answer != null -> LedgerReply.Replayed(earlier.request, answer)
-            earlier.request == command.request && !earlier.finished -> started(earlier, command)
+            earlier.request == command.request && !earlier.finished -> startedReply(earlier, command)
             earlier.finished -> LedgerReply.OutcomeUnknown(earlier.request)
-            earlier.repeatable &&
-                !mayRun(
-                    stateOf(earlier.version),
-                    command.session != null,
-                ) -> LedgerReply.VersionUnavailable
-            earlier.repeatable -> share(earlier, command)
+            earlier.repeatable && !mayRun(stateOf(earlier.version), command.session != null) ->
+                LedgerReply.VersionUnavailable
+            earlier.repeatable -> allowSharedRun(earlier, command)
             command.atMillis - earlier.beganAtMillis < earlier.timeoutMillis -> LedgerReply.InProgress(earlier.request)
             else -> LedgerReply.OutcomeUnknown(earlier.request)
         }
     }
 
-    // The version of another session may differ, so a key does not pass from one session to another either.
+    // Sessions may be pinned to different versions, so an idempotency key is not valid across sessions.
     private fun RequestRecord.matches(command: LedgerCommand.Begin) =
         digest == command.digest && session == command.session
 
-    private fun share(
+    private fun allowSharedRun(
         earlier: RequestRecord,
         command: LedgerCommand.Begin,
     ): LedgerReply {
         requests[earlier.request] = earlier.copy(shared = true)
-        return started(earlier, command)
+        return startedReply(earlier, command)
     }
 
-    private fun started(
+    private fun startedReply(
         earlier: RequestRecord,
         command: LedgerCommand.Begin,
     ) = LedgerReply.Started(earlier.request, earlier.version, command.session != null)
@@ -130,17 +127,17 @@
     private fun abandon(command: LedgerCommand.Abandon): LedgerReply {
         val record = requests[command.request]
         if (record == null || record.finished || record.shared) return LedgerReply.Done(first = false)
-        forget(record)
+        deleteRequest(record)
         return LedgerReply.Done(first = true)
     }
 
-    private fun forget(record: RequestRecord) {
+    private fun deleteRequest(record: RequestRecord) {
         requests.remove(record.request)
         if (record.key != null) requestByKey.remove(record.key, record.request)
     }
 
     private fun expire(beforeMillis: Long): LedgerReply {
-        requests.values.filter { it.beganAtMillis < beforeMillis }.forEach(::forget)
+        requests.values.filter { it.beganAtMillis < beforeMillis }.forEach(::deleteRequest)
         sessions.values.removeIf { it.atMillis < beforeMillis }
         bills.values.removeIf { it.atMillis < beforeMillis }
         return LedgerReply.Done(first = true)
--- a/ledger/src/test/kotlin/io/carawaytrack/ledger/LedgerTest.kt
+++ b/ledger/src/test/kotlin/io/carawaytrack/ledger/LedgerTest.kt
@@ -1,6 +1,6 @@
 /*
- * The ledger's rules as scenarios: each step is a command and the reply that it must get. Every scenario runs twice,
- * the second time with a restart from a snapshot before each step.
+ * Tests the ledger with scenarios, in which each step is a command and its expected reply. Every scenario runs twice,
+ * the second time with the ledger restored from a snapshot before each step.
  */
 package io.carawaytrack.ledger
 
@@ -80,13 +80,13 @@
 
 private infix fun LedgerCommand.gets(reply: LedgerReply) = Step(this, reply)
 
-private fun Step.whileStates(vararg states: Pair<ModelVersion, VersionState>) = Step(command, reply, states.toMap())
+private fun Step.withStates(vararg states: Pair<ModelVersion, VersionState>) = Step(command, reply, states.toMap())
 
-private val first = LedgerReply.Done(first = true)
-private val again = LedgerReply.Done(first = false)
+private val applied = LedgerReply.Done(first = true)
+private val notApplied = LedgerReply.Done(first = false)
 private val running = LedgerReply.InProgress(RequestId("r1"))
 private val unknown = LedgerReply.OutcomeUnknown(RequestId("r1"))
-private val repeated = LedgerReply.Replayed(RequestId("r1"), answer)
+private val replayed = LedgerReply.Replayed(RequestId("r1"), answer)
 private val draining = old to VersionState.Draining
 private val withdrawn = old to VersionState.Withdrawn
 
@@ -94,41 +94,41 @@
     private val scenarios =
         listOf(
             Scenario(
-                "a resend finds the request running, then unknown, then its answer",
+                "a retry gets in progress, then an unknown outcome, then the stored answer",
                 begin("r1") gets started("r1"),
                 begin("r2", atMillis = TIMEOUT_MILLIS - 1) gets running,
                 begin("r2", atMillis = TIMEOUT_MILLIS) gets unknown,
-                finish("r1") gets first,
-                begin("r3", atMillis = 2 * TIMEOUT_MILLIS) gets repeated,
+                finish("r1") gets applied,
+                begin("r3", atMillis = 2 * TIMEOUT_MILLIS) gets replayed,
             ),
             Scenario(
-                "a request that ended without a kept answer is not run again",
+                "a request that finished without a stored answer is not run again",
                 begin("r1") gets started("r1"),
-                finish("r1", stored = null) gets first,
+                finish("r1", stored = null) gets applied,
                 begin("r2") gets unknown,
             ),
             Scenario(
-                "the first outcome stands",
+                "only the first outcome of a request is recorded",
                 begin("r1") gets started("r1"),
-                finish("r1") gets first,
-                finish("r1", stored = null) gets again,
-                begin("r2") gets repeated,
+                finish("r1") gets applied,
+                finish("r1", stored = null) gets notApplied,
+                begin("r2") gets replayed,
             ),
             Scenario(
-                "an intent whose reply was lost is sent again",
+                "an intent whose reply was lost may be resent",
                 begin("r1") gets started("r1"),
                 begin("r1") gets started("r1"),
                 begin("r2") gets running,
             ),
             Scenario(
-                "a key does not pass from one request to another",
+                "a key can't be reused for a different request",
                 begin("r1") gets started("r1"),
                 begin("r2", digest = 2) gets LedgerReply.Conflicting,
-                finish("r1") gets first,
+                finish("r1") gets applied,
                 begin("r3", digest = 2) gets LedgerReply.Conflicting,
             ),
             Scenario(
-                "a key does not pass from one session to another",
+                "a key can't be reused in a different session",
                 begin("r1", session = "s1", repeatable = true) gets started("r1", pinned = true),
                 begin("r2", session = "s2", repeatable = true) gets LedgerReply.Conflicting,
                 begin("r3", repeatable = true) gets LedgerReply.Conflicting,
@@ -139,79 +139,78 @@
                 begin("r2", session = "s", version = new, organisation = stalls) gets started("r2", new, true),
             ),
             Scenario(
-                "an abandoned request may be sent again, and a late copy of the order changes nothing",
+                "an abandoned request may be retried, and a delayed duplicate of the command changes nothing",
                 begin("r1") gets started("r1"),
-                abandon("r1") gets first,
+                abandon("r1") gets applied,
                 begin("r2") gets started("r2"),
-                abandon("r1") gets again,
+                abandon("r1") gets notApplied,
                 begin("r3") gets LedgerReply.InProgress(RequestId("r2")),
             ),
             Scenario(
-                "a request that has ended cannot be abandoned",
+                "a finished request can't be abandoned",
                 begin("r1") gets started("r1"),
-                finish("r1") gets first,
-                abandon("r1") gets again,
-                begin("r2") gets repeated,
+                finish("r1") gets applied,
+                abandon("r1") gets notApplied,
+                begin("r2") gets replayed,
             ),
             Scenario(
-                "an entry that ran nothing does not abandon the run of another",
+                "an entry can't abandon a request that another entry was also allowed to run",
                 begin("r1", repeatable = true) gets started("r1"),
                 begin("r2", repeatable = true) gets started("r1"),
-                abandon("r1") gets again,
-                finish("r1") gets first,
-                begin("r3", repeatable = true) gets repeated,
+                abandon("r1") gets notApplied,
+                finish("r1") gets applied,
+                begin("r3", repeatable = true) gets replayed,
             ),
             Scenario(
-                "of two first requests of a session one fixes the version",
+                "two first requests of a session are pinned to the same version",
                 begin("r1", key = null, session = "s", version = new) gets started("r1", new, true),
                 begin("r2", key = null, session = "s", version = old) gets started("r2", new, true),
             ),
             Scenario(
-                "a session keeps a draining version, and no other work gets it",
+                "a session stays pinned to a draining version, which accepts no other work",
                 begin("r1", key = null, session = "s") gets started("r1", pinned = true),
                 (begin("r2", key = null, session = "s", version = new) gets started("r2", pinned = true))
-                    .whileStates(draining),
-                (begin("r3", key = null, session = "t") gets LedgerReply.VersionUnavailable).whileStates(draining),
-                (begin("r4", key = null) gets LedgerReply.VersionUnavailable).whileStates(draining),
+                    .withStates(draining),
+                (begin("r3", key = null, session = "t") gets LedgerReply.VersionUnavailable).withStates(draining),
+                (begin("r4", key = null) gets LedgerReply.VersionUnavailable).withStates(draining),
             ),
             Scenario(
-                "a withdrawn version gets no intent",
+                "a withdrawn version accepts no intent",
                 begin("r1", session = "s", repeatable = true) gets started("r1", pinned = true),
-                (begin("r2", key = null, session = "s") gets LedgerReply.VersionUnavailable).whileStates(withdrawn),
-                (begin("r3", key = null) gets LedgerReply.VersionUnavailable).whileStates(withdrawn),
+                (begin("r2", key = null, session = "s") gets LedgerReply.VersionUnavailable).withStates(withdrawn),
+                (begin("r3", key = null) gets LedgerReply.VersionUnavailable).withStates(withdrawn),
                 (
                     begin(
                         "r4",
                         session = "s",
                         repeatable = true,
                     ) gets LedgerReply.VersionUnavailable
-                ).whileStates(withdrawn),
-                (begin("r5", key = null, version = new) gets started("r5", new)).whileStates(withdrawn),
+                ).withStates(withdrawn),
+                (begin("r5", key = null, version = new) gets started("r5", new)).withStates(withdrawn),
             ),
             Scenario(
-                "a repeatable request runs again under its first identity",
+                "a retry of a repeatable request runs under the first request identifier",
                 begin("r1", repeatable = true) gets started("r1"),
                 begin("r2", repeatable = true, version = new) gets started("r1"),
             ),
             Scenario(
-                "records end with their age",
+                "expired records are deleted",
                 begin("r1") gets started("r1"),
-                LedgerCommand.Expire(market, beforeMillis = 0) gets first,
+                LedgerCommand.Expire(market, beforeMillis = 0) gets applied,
                 begin("r2", atMillis = 1) gets running,
-                LedgerCommand.Expire(market, beforeMillis = 1) gets first,
+                LedgerCommand.Expire(market, beforeMillis = 1) gets applied,
                 begin("r3", atMillis = 1) gets started("r3"),
             ),
         )
 
     @TestFactory
-    fun `every command gets the reply that the requests before it allow`(): List<DynamicTest> =
-        scenarios.flatMap { scenario ->
-            listOf(false, true).map { restarts ->
-                dynamicTest(if (restarts) "${scenario.name}, over restarts" else scenario.name) {
-                    replay(scenario, restarts)
-                }
+    fun `every command gets its expected reply`(): List<DynamicTest> = scenarios.flatMap { scenario ->
+        listOf(false, true).map { restarts ->
+            dynamicTest(if (restarts) "${scenario.name}, with restarts" else scenario.name) {
+                replay(scenario, restarts)
             }
         }
+    }
 
     private fun replay(
         scenario: Scenario,
@@ -226,7 +225,7 @@
     }
 
     @Test
-    fun `a request is billed once, whoever reports its end first and however often`() {
+    fun `a request is billed once, regardless of the order and number of outcome reports`() {
         repeat(SEEDS) { seed ->
             val random = Random(seed)
             val reports = listOf(finish("r1", bill = bill("r1", 1.0)), finish("r1", bill = bill("r1", 2.0)))
