--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/RaftState.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/RaftState.kt
@@ -38,7 +38,7 @@
 )
 
 /**
- * Lists the actions that the driver must execute after a step, in the order of the properties.
+ * Lists the actions that a step requests from the driver.
  *
  * @property beforePersist messages that are valid whether or not the changes of this step are durable
  * @property afterPersist messages that rely on [termVote], [install] and [append] being durable
