--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/RaftLog.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/RaftLog.kt
@@ -80,7 +80,7 @@
     /** Appends [entry] and truncates any entries at or after its index. */
     fun append(entry: LogEntry) {
         check(entry.index in baseIndex + 1..lastIndex + 1) {
-            "expected an index from ${baseIndex + 1} to ${lastIndex + 1}, got ${entry.index}"
+            "expected an index above $baseIndex and at most ${lastIndex + 1}, got ${entry.index}"
         }
         if (entry.index <= lastIndex) {
             entries.subList((entry.index - baseIndex - 1).toInt(), entries.size).clear()
--- a/consensus/src/test/kotlin/io/carawaytrack/consensus/TestGroup.kt
+++ b/consensus/src/test/kotlin/io/carawaytrack/consensus/TestGroup.kt
@@ -49,7 +49,7 @@
     }
 }
 
-/** Holds the outcome of a call once it has completed. */
+/** A call and its outcome once it has completed. */
 internal class Call {
     var outcome: Result<ByteArray, Failure>? = null
         private set
--- a/storage/src/main/kotlin/io/carawaytrack/storage/FileDisk.kt
+++ b/storage/src/main/kotlin/io/carawaytrack/storage/FileDisk.kt
@@ -24,7 +24,7 @@
 public fun openFileDisk(folder: Path): Result<Disk, StorageFailure> = try {
     Files.createDirectories(folder)
     lockFolder(folder)?.let { Ok(FolderDisk(folder, it)) }
-        ?: Err(StorageFailure.FolderInUse("expected to lock $folder, but it is already locked"))
+        ?: Err(StorageFailure.FolderInUse("expected to lock $folder, but it is locked by another process or disk"))
 } catch (failure: IOException) {
     Err(StorageFailure.DiskFailed("opening $folder failed: $failure"))
 }
