--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/Replica.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/Replica.kt
@@ -9,7 +9,10 @@
 
 /** Applies committed commands in log order. All replicas apply the same commands. */
 public interface StateMachine {
-    /** Applies the command committed at [index] and returns its reply. Must be deterministic. */
+    /**
+     * Applies the command committed at [index] and returns its reply. Must be deterministic: the result may only depend
+     * on the current state and the arguments.
+     */
     public fun apply(
         index: Long,
         command: ByteArray,
