--- a/consensus/src/test/kotlin/io/carawaytrack/consensus/ReplicaTest.kt
+++ b/consensus/src/test/kotlin/io/carawaytrack/consensus/ReplicaTest.kt
@@ -90,7 +90,7 @@
                     "another leader",
                     withinMillis = 2_000,
                 ) { group.leader().let { it != null && it != old } }
-                group.runUntil("both outcomes", withinMillis = 1_000) {
+                group.runUntil("answers", withinMillis = 1_000) {
                     proposal.outcome != null &&
                         confirmation.outcome != null
                 }
