--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/AnswerRelay.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/AnswerRelay.kt
@@ -20,7 +20,7 @@
 internal class AnswerRelay(
     private val request: CallerRequest,
     private val caller: CallerConnection,
-    private val vocabulary: HeaderVocabulary,
+    private val vocabulary: HeaderNames,
 ) {
     private val scanner = if (request.route.repeatable) EventScanner(request.lastEventId()) else null
     private var held: CompositeByteBuf? = null
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/CallerRequest.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/CallerRequest.kt
@@ -76,7 +76,7 @@
     head: HttpRequest,
     body: ByteBuf,
     match: Match.Found,
-    vocabulary: HeaderVocabulary,
+    vocabulary: HeaderNames,
     nowMillis: Long,
 ): CallerRequest {
     val headers = head.headers()
@@ -106,7 +106,7 @@
 internal fun sessionOf(
     headers: HttpHeaders,
     demand: PromptDemand,
-    vocabulary: HeaderVocabulary,
+    vocabulary: HeaderNames,
     id: String,
 ): String = headers[vocabulary.session] ?: demand.parts.lastOrNull()?.id ?: id
 
@@ -118,7 +118,7 @@
  */
 internal fun CallerRequest.forUpstream(
     upstream: FleetUpstream,
-    vocabulary: HeaderVocabulary,
+    vocabulary: HeaderNames,
     leftMillis: Long,
     model: String?,
     lastEventId: String?,
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Dispatch.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Dispatch.kt
@@ -23,7 +23,7 @@
 
 internal class Dispatch(
     settings: GatewaySettings,
-    override val vocabulary: HeaderVocabulary,
+    override val vocabulary: HeaderNames,
     private val upstreams: UpstreamDirectory,
     private val rollouts: RolloutWatch,
     private val connections: UpstreamConnections,
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/ExchangeHost.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/ExchangeHost.kt
@@ -41,7 +41,7 @@
 
 /** What an exchange asks of its gateway. */
 internal interface ExchangeHost {
-    val vocabulary: HeaderVocabulary
+    val vocabulary: HeaderNames
 
     fun nowMillis(): Long
 
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Gateway.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Gateway.kt
@@ -93,13 +93,13 @@
     public fun apply(view: FleetView)
 
     /** Takes in an announcement. */
-    public fun changed(known: KnownUpstream)
+    public fun updateUpstream(known: KnownUpstream)
 
     /** Takes in that an upstream has signed off. */
-    public fun gone(departure: Departure)
+    public fun removeUpstream(departure: Departure)
 
     /** Takes in that [hosts] hosts share what upstreams bear. */
-    public fun sharedBy(hosts: Int)
+    public fun setHostCount(hosts: Int)
 
     /** Returns what this host has seen of each running roll-out. */
     public fun tallies(): List<RolloutTally>
@@ -123,7 +123,7 @@
 /** Starts a gateway on the one event loop of [group]. */
 public fun Gateway(
     settings: GatewaySettings,
-    vocabulary: HeaderVocabulary,
+    vocabulary: HeaderNames,
     group: EventLoopGroup,
     heard: () -> Collection<KnownUpstream>,
     meters: GatewayMeters = GatewayMeters(),
@@ -132,7 +132,7 @@
 
 private class LoopGateway(
     private val settings: GatewaySettings,
-    private val vocabulary: HeaderVocabulary,
+    private val vocabulary: HeaderNames,
     group: EventLoopGroup,
     private val heard: () -> Collection<KnownUpstream>,
     meters: GatewayMeters,
@@ -171,17 +171,17 @@
         dispatch.offerWaiting()
     }
 
-    override fun changed(known: KnownUpstream) {
+    override fun updateUpstream(known: KnownUpstream) {
         upstreams.changed(known)
         logEvent("upstream_changed", fieldsOf(known.upstream))
         dispatch.offerWaiting()
     }
 
-    override fun gone(departure: Departure) {
+    override fun removeUpstream(departure: Departure) {
         if (upstreams.gone(departure)) logEvent("upstream_gone", mapOf("upstream" to departure.id.value))
     }
 
-    override fun sharedBy(hosts: Int) {
+    override fun setHostCount(hosts: Int) {
         upstreams.hosts = maxOf(1, hosts)
     }
 
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/HeaderVocabulary.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/HeaderNames.kt
@@ -24,7 +24,7 @@
  * @property confidence an engine's own opinion of its answer, 0 to 100
  * @property reserved headers that only the gateway may set on a request; a caller's are dropped
  */
-public data class HeaderVocabulary(
+public data class HeaderNames(
     val attemptId: String,
     val deadlineMillis: String,
     val expectedUpstream: String,
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/HttpEndpoint.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/HttpEndpoint.kt
@@ -30,7 +30,7 @@
 private const val MAX_BODY_BYTES = 8 * 1024 * 1024
 
 /** Holds a call; [path] has no query. */
-public class EndpointCall(
+public class EndpointRequest(
     public val method: String,
     public val path: String,
     public val body: ByteArray,
@@ -41,7 +41,7 @@
  *
  * @property location address to call instead, for redirects
  */
-public class EndpointAnswer(
+public class EndpointResponse(
     public val status: Int,
     public val body: ByteArray = ByteArray(0),
     public val contentType: String = "application/json",
@@ -52,7 +52,7 @@
 public fun serveEndpoint(
     address: HostPort,
     group: EventLoopGroup,
-    handle: (EndpointCall, (EndpointAnswer) -> Unit) -> Unit,
+    handle: (EndpointRequest, (EndpointResponse) -> Unit) -> Unit,
 ): AutoCloseable {
     val initializer =
         object : ChannelInitializer<SocketChannel>() {
@@ -78,25 +78,25 @@
 }
 
 private class EndpointHandler(
-    private val handle: (EndpointCall, (EndpointAnswer) -> Unit) -> Unit,
+    private val handle: (EndpointRequest, (EndpointResponse) -> Unit) -> Unit,
 ) : SimpleChannelInboundHandler<FullHttpRequest>() {
     override fun channelRead0(
         context: ChannelHandlerContext,
         request: FullHttpRequest,
     ) {
         if (request.decoderResult().isFailure) {
-            answer(context, EndpointAnswer(HttpResponseStatus.BAD_REQUEST.code()), keepAlive = false)
+            answer(context, EndpointResponse(HttpResponseStatus.BAD_REQUEST.code()), keepAlive = false)
             return
         }
         val keepAlive = HttpUtil.isKeepAlive(request)
         val body = ByteArray(request.content().readableBytes()).also(request.content()::readBytes)
-        val call = EndpointCall(request.method().name(), request.uri().substringBefore('?'), body)
+        val call = EndpointRequest(request.method().name(), request.uri().substringBefore('?'), body)
         handle(call) { answer(context, it, keepAlive) }
     }
 
     private fun answer(
         context: ChannelHandlerContext,
-        answer: EndpointAnswer,
+        answer: EndpointResponse,
         keepAlive: Boolean,
     ) {
         val content = Unpooled.wrappedBuffer(answer.body)
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamAnswer.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamAnswer.kt
@@ -24,10 +24,10 @@
 internal fun HttpResponse.isFailure(): Boolean = status().codeClass() == HttpStatusClass.SERVER_ERROR
 
 /** Returns whether the upstream has signed the answer. */
-internal fun HttpResponse.isSigned(vocabulary: HeaderVocabulary): Boolean = headers().contains(vocabulary.signature)
+internal fun HttpResponse.isSigned(vocabulary: HeaderNames): Boolean = headers().contains(vocabulary.signature)
 
 /** Returns why the upstream says that it has not run the request, or null when it doesn't say so. */
-internal fun HttpResponse.refusal(vocabulary: HeaderVocabulary): UpstreamRefusal? {
+internal fun HttpResponse.refusal(vocabulary: HeaderNames): UpstreamRefusal? {
     val status = status().code()
     val notExecuted = headers().contains(vocabulary.notExecuted)
     return when {
--- a/gateway/src/test/kotlin/io/carawaytrack/gateway/GatewayTest.kt
+++ b/gateway/src/test/kotlin/io/carawaytrack/gateway/GatewayTest.kt
@@ -20,6 +20,10 @@
 import io.carawaytrack.model.UpstreamId
 import io.carawaytrack.model.ZoneName
 import io.netty.channel.nio.NioEventLoopGroup
+import java.io.OutputStream
+import java.net.ServerSocket
+import java.net.Socket
+import java.util.concurrent.TimeUnit
 import org.junit.jupiter.api.AfterEach
 import org.junit.jupiter.api.Test
 import strikt.api.expectThat
@@ -27,13 +31,9 @@
 import strikt.assertions.isEqualTo
 import strikt.assertions.isNotNull
 import strikt.assertions.isNull
-import java.io.OutputStream
-import java.net.ServerSocket
-import java.net.Socket
-import java.util.concurrent.TimeUnit
 
 private val vocabulary =
-    HeaderVocabulary(
+    HeaderNames(
         attemptId = "x-attempt",
         deadlineMillis = "x-deadline",
         expectedUpstream = "x-expect",
@@ -154,7 +154,7 @@
                 sequence = 1,
                 startedAtMillis = 1,
             )
-        onLoop { gateway.changed(KnownUpstream(upstream, nowMillis())) }
+        onLoop { gateway.updateUpstream(KnownUpstream(upstream, nowMillis())) }
     }
 
     private fun request(
