--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/CallerConnections.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/CallerConnections.kt
@@ -47,7 +47,7 @@
 private const val MAX_CHUNK_BYTES = 65_536
 
 /** Messages that a caller may send ahead while an answer is awaited. */
-private const val MAX_SENT_AHEAD = 256
+private const val MAX_PIPELINED_MESSAGES = 256
 
 /** Bytes waiting for a slow caller from which its upstream is read no further, and at which it is read again. */
 private val waterMark = WriteBufferWaterMark(64 * 1024, 256 * 1024)
@@ -63,10 +63,10 @@
 /** Hears of the caller of a request that is being answered. */
 internal interface CallerListener {
     /** Tells that the caller has closed its connection. */
-    fun callerGone()
+    fun onCallerDisconnected()
 
     /** Tells whether the caller reads as fast as it is sent to. */
-    fun callerWritable(writable: Boolean)
+    fun onCallerWritable(writable: Boolean)
 }
 
 internal class CallerConnections(
@@ -106,15 +106,15 @@
         val channel: Channel,
         private val owner: CallerConnections,
     ) : ChannelInboundHandlerAdapter() {
-        private val ahead = ArrayDeque<Any>()
+        private val pipelined = ArrayDeque<Any>()
         private var head: HttpRequest? = null
         private var body: CompositeByteBuf? = null
         private var listener: CallerListener? = null
-        private var answering = false
+        private var responding = false
         private var chunked = true
         private var keepAlive = true
-        private var sinceMillis = owner.nowMillis()
-        private var started = false
+        private var phaseSinceMillis = owner.nowMillis()
+        private var receiving = false
 
         override fun channelActive(context: ChannelHandlerContext) {
             owner.open += this
@@ -124,28 +124,28 @@
             context: ChannelHandlerContext,
             message: Any,
         ) {
-            if (!answering) return read(message)
-            ahead.addLast(message)
-            if (ahead.size > MAX_SENT_AHEAD) channel.close()
+            if (!responding) return read(message)
+            pipelined.addLast(message)
+            if (pipelined.size > MAX_PIPELINED_MESSAGES) channel.close()
         }
 
         private fun read(message: Any) {
             if (message is HttpRequest) {
-                if (!begin(message)) {
+                if (!beginRequest(message)) {
                     ReferenceCountUtil.release(message)
                     return
                 }
             }
-            if (message is HttpContent) take(message)
+            if (message is HttpContent) receiveContent(message)
         }
 
-        private fun begin(request: HttpRequest): Boolean {
+        private fun beginRequest(request: HttpRequest): Boolean {
             head = null
-            sinceMillis = owner.nowMillis()
-            started = true
-            val refusal = refusalOf(request)
-            if (refusal != null) {
-                refuse(refusal)
+            phaseSinceMillis = owner.nowMillis()
+            receiving = true
+            val rejectionStatus = rejectionStatusOf(request)
+            if (rejectionStatus != null) {
+                reject(rejectionStatus)
                 return false
             }
             if (HttpUtil.is100ContinueExpected(request)) sendContinue()
@@ -159,7 +159,7 @@
             channel.writeAndFlush(interim)
         }
 
-        private fun refusalOf(request: HttpRequest): HttpResponseStatus? {
+        private fun rejectionStatusOf(request: HttpRequest): HttpResponseStatus? {
             val failed = request.decoderResult().takeIf { it.isFailure }
             val headers = request.headers()
             return when {
@@ -175,27 +175,27 @@
         private fun isAmbiguous(headers: HttpHeaders): Boolean {
             val codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING)
             val unknownCoding = codings.isNotEmpty() && !codings.single().equals("chunked", ignoreCase = true)
-            val both = codings.isNotEmpty() && headers.contains(HttpHeaderNames.CONTENT_LENGTH)
-            return codings.size > 1 || unknownCoding || both || headers.getAll(HttpHeaderNames.HOST).size > 1
+            val lengthAndCoding = codings.isNotEmpty() && headers.contains(HttpHeaderNames.CONTENT_LENGTH)
+            return codings.size > 1 || unknownCoding || lengthAndCoding || headers.getAll(HttpHeaderNames.HOST).size > 1
         }
 
-        private fun take(content: HttpContent) {
+        private fun receiveContent(content: HttpContent) {
             val request = head
             if (request == null || content.decoderResult().isFailure) {
                 content.release()
-                if (request != null) refuse(HttpResponseStatus.BAD_REQUEST)
+                if (request != null) reject(HttpResponseStatus.BAD_REQUEST)
                 return
             }
-            if (!append(content)) return refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE)
+            if (!append(content)) return reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE)
             if (content !is LastHttpContent) return
-            val whole = body ?: Unpooled.EMPTY_BUFFER
+            val fullBody = body ?: Unpooled.EMPTY_BUFFER
             body = null
             head = null
-            answering = true
-            started = false
+            responding = true
+            receiving = false
             keepAlive = HttpUtil.isKeepAlive(request)
             chunked = request.protocolVersion() == HttpVersion.HTTP_1_1
-            owner.events.request(request, whole, this)
+            owner.events.request(request, fullBody, this)
         }
 
         private fun append(content: HttpContent): Boolean {
@@ -204,25 +204,25 @@
                 content.release()
                 return true
             }
-            val whole = body ?: channel.alloc().compositeBuffer(MAX_BODY_PARTS).also { body = it }
-            whole.addComponent(true, bytes)
-            return whole.readableBytes() <= owner.events.limits().maxBodyBytes
+            val fullBody = body ?: channel.alloc().compositeBuffer(MAX_BODY_PARTS).also { body = it }
+            fullBody.addComponent(true, bytes)
+            return fullBody.readableBytes() <= owner.events.limits().maxBodyBytes
         }
 
-        private fun refuse(status: HttpResponseStatus) {
+        private fun reject(status: HttpResponseStatus) {
             head = null
-            answering = true
+            responding = true
             keepAlive = false
             owner.events.malformed(this, status)
         }
 
         /** Names who hears of the caller while its request is answered. */
-        fun listenWith(next: CallerListener) {
-            listener = next
+        fun setListener(newListener: CallerListener) {
+            listener = newListener
         }
 
         /** Sends a whole answer, whose body it releases. */
-        fun answer(
+        fun respond(
             status: HttpResponseStatus,
             headers: HttpHeaders,
             content: ByteBuf,
@@ -232,11 +232,11 @@
             HttpUtil.setContentLength(response, content.readableBytes().toLong())
             setConnection(headers)
             val sent = channel.writeAndFlush(response)
-            if (keepAlive) answered() else sent.addListener(ChannelFutureListener.CLOSE)
+            if (keepAlive) responseSent() else sent.addListener(ChannelFutureListener.CLOSE)
         }
 
         /** Begins an answer whose length isn't known. */
-        fun begin(
+        fun startResponse(
             status: HttpResponseStatus,
             headers: HttpHeaders,
         ) {
@@ -261,7 +261,7 @@
         /** Ends an answer that is complete. */
         fun finish() {
             val sent = channel.writeAndFlush(DefaultLastHttpContent.EMPTY_LAST_CONTENT)
-            if (keepAlive) answered() else sent.addListener(ChannelFutureListener.CLOSE)
+            if (keepAlive) responseSent() else sent.addListener(ChannelFutureListener.CLOSE)
         }
 
         /** Ends an answer that can't be completed, so that it doesn't look complete. */
@@ -275,38 +275,38 @@
             if (!keepAlive) headers[HttpHeaderNames.CONNECTION] = HttpHeaderValues.CLOSE
         }
 
-        private fun answered() {
+        private fun responseSent() {
             listener = null
-            answering = false
-            sinceMillis = owner.nowMillis()
-            while (!answering && ahead.isNotEmpty()) read(ahead.removeFirst())
+            responding = false
+            phaseSinceMillis = owner.nowMillis()
+            while (!responding && pipelined.isNotEmpty()) read(pipelined.removeFirst())
         }
 
         fun prune(
             now: Long,
             limits: CallerLimits,
         ) {
-            if (answering) return
-            if (now - sinceMillis > limits.idleTimeoutMillis) channel.close()
+            if (responding) return
+            if (now - phaseSinceMillis > limits.idleTimeoutMillis) channel.close()
         }
 
         fun closeIfIdle() {
-            if (!answering && !started) channel.close()
+            if (!responding && !receiving) channel.close()
         }
 
         override fun channelWritabilityChanged(context: ChannelHandlerContext) {
-            listener?.callerWritable(channel.isWritable)
+            listener?.onCallerWritable(channel.isWritable)
         }
 
         override fun channelInactive(context: ChannelHandlerContext) {
             owner.open -= this
-            ahead.forEach(ReferenceCountUtil::release)
-            ahead.clear()
+            pipelined.forEach(ReferenceCountUtil::release)
+            pipelined.clear()
             body?.release()
             body = null
-            val left = listener
+            val lastListener = listener
             listener = null
-            left?.callerGone()
+            lastListener?.onCallerDisconnected()
         }
 
         @Deprecated("Netty's own signature")
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/CallerRequest.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/CallerRequest.kt
@@ -55,14 +55,14 @@
     val route: CatalogRoute,
     val organisation: CatalogOrganisation?,
     val arrivedAtMillis: Long,
-    val endsAtMillis: Long,
+    val deadlineAtMillis: Long,
     val demand: PromptDemand,
     val session: String,
 ) {
     val rank: Int = organisation?.rank ?: route.rank
 
     /** Whether the gateway is to choose the model. */
-    val anyModel: Boolean get() = route.models.isNotEmpty()
+    val gatewayChoosesModel: Boolean get() = route.models.isNotEmpty()
 
     /** Identifier of the last event that the caller has, if it resumes a stream. */
     fun lastEventId(): String? = head.headers()[LAST_EVENT_ID]
@@ -76,13 +76,13 @@
     head: HttpRequest,
     body: ByteBuf,
     match: Match.Found,
-    vocabulary: HeaderNames,
+    headerNames: HeaderNames,
     nowMillis: Long,
 ): CallerRequest {
     val headers = head.headers()
-    val id = headers[vocabulary.attemptId].orEmpty()
-    val deadlineMillis = headers[vocabulary.deadlineMillis]?.toLongOrNull() ?: DEFAULT_DEADLINE_MILLIS
-    val demand = promptDemand(headers[vocabulary.tokenUsage], headers[vocabulary.promptParts])
+    val id = headers[headerNames.attemptId].orEmpty()
+    val deadlineMillis = headers[headerNames.deadlineMillis]?.toLongOrNull() ?: DEFAULT_DEADLINE_MILLIS
+    val demand = parsePromptDemand(headers[headerNames.tokenUsage], headers[headerNames.promptParts])
     return CallerRequest(
         head = head,
         body = body,
@@ -90,9 +90,9 @@
         route = match.route,
         organisation = match.organisation,
         arrivedAtMillis = nowMillis,
-        endsAtMillis = nowMillis + minOf(deadlineMillis, match.route.timeoutMillis),
+        deadlineAtMillis = nowMillis + minOf(deadlineMillis, match.route.timeoutMillis),
         demand = demand,
-        session = sessionOf(headers, demand, vocabulary, id),
+        session = sessionOf(headers, demand, headerNames, id),
     )
 }
 
@@ -106,9 +106,9 @@
 internal fun sessionOf(
     headers: HttpHeaders,
     demand: PromptDemand,
-    vocabulary: HeaderNames,
+    headerNames: HeaderNames,
     id: String,
-): String = headers[vocabulary.session] ?: demand.parts.lastOrNull()?.id ?: id
+): String = headers[headerNames.session] ?: demand.parts.lastOrNull()?.id ?: id
 
 /**
  * Builds the request for [upstream].
@@ -118,20 +118,20 @@
  */
 internal fun CallerRequest.forUpstream(
     upstream: FleetUpstream,
-    vocabulary: HeaderNames,
-    leftMillis: Long,
+    headerNames: HeaderNames,
+    remainingMillis: Long,
     model: String?,
     lastEventId: String?,
 ): FullHttpRequest {
-    val headers = passedOn(head.headers(), vocabulary.reserved)
+    val headers = forwardedHeaders(head.headers(), headerNames.reserved)
     if (bearerKey(head.headers()) != null) headers.remove(HttpHeaderNames.AUTHORIZATION)
-    headers[vocabulary.attemptId] = id
-    headers[vocabulary.deadlineMillis] = leftMillis.toString()
-    headers[vocabulary.expectedUpstream] = upstream.id.value
-    headers.remove(vocabulary.organisation)
-    organisation?.let { headers[vocabulary.organisation] = it.name.value }
-    if (model != null) headers[vocabulary.model] = model
-    if (route.streaming) headers[vocabulary.urgency] = urgency().toString()
+    headers[headerNames.attemptId] = id
+    headers[headerNames.deadlineMillis] = remainingMillis.toString()
+    headers[headerNames.expectedUpstream] = upstream.id.value
+    headers.remove(headerNames.organisation)
+    organisation?.let { headers[headerNames.organisation] = it.name.value }
+    if (model != null) headers[headerNames.model] = model
+    if (route.streaming) headers[headerNames.urgency] = urgency().toString()
     if (lastEventId != null) headers[LAST_EVENT_ID] = lastEventId
     val request =
         DefaultFullHttpRequest(
@@ -142,33 +142,34 @@
             headers,
             EmptyHttpHeaders.INSTANCE,
         )
-    if (body.isReadable || carriedBody()) HttpUtil.setContentLength(request, body.readableBytes().toLong())
+    if (body.isReadable || hadBody()) HttpUtil.setContentLength(request, body.readableBytes().toLong())
     return request
 }
 
-private fun CallerRequest.carriedBody() =
+private fun CallerRequest.hadBody() =
     head.headers().contains(HttpHeaderNames.CONTENT_LENGTH) || HttpUtil.isTransferEncodingChunked(head)
 
 private fun CallerRequest.urgency() = minOf(LOWEST_URGENCY, FIRST_URGENCY + URGENCY_STEP * rank)
 
-private fun namedByConnection(headers: HttpHeaders): List<String> =
+private fun connectionNominatedHeaders(headers: HttpHeaders): List<String> =
     headers.getAll(HttpHeaderNames.CONNECTION).flatMap { it.split(',') }.map { it.trim().lowercase() }
 
 /** Returns the headers of an upstream's answer that go to the caller. */
-internal fun answerHeaders(upstreams: HttpHeaders): HttpHeaders = passedOn(upstreams, reserved = emptySet())
+internal fun responseHeaders(upstreamHeaders: HttpHeaders): HttpHeaders =
+    forwardedHeaders(upstreamHeaders, reserved = emptySet())
 
 /** Copies [headers] but for those of one connection and the [reserved] ones, which are named in lower case. */
-private fun passedOn(
+private fun forwardedHeaders(
     headers: HttpHeaders,
     reserved: Set<String>,
 ): HttpHeaders {
-    val dropped = connectionHeaders + namedByConnection(headers) + reserved
+    val dropped = connectionHeaders + connectionNominatedHeaders(headers) + reserved
     val copy = unvalidatedHeaders()
     headers.forEach { (name, value) -> if (name.lowercase() !in dropped) copy.add(name, value) }
     return copy
 }
 
 /** Creates headers that take what another message's reader has checked already. */
-internal fun unvalidatedHeaders(): HttpHeaders = unvalidated.newHeaders()
+internal fun unvalidatedHeaders(): HttpHeaders = unvalidatedHeadersFactory.newHeaders()
 
-private val unvalidated = DefaultHttpHeadersFactory.headersFactory().withValidation(false)
+private val unvalidatedHeadersFactory = DefaultHttpHeadersFactory.headersFactory().withValidation(false)
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Dispatch.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Dispatcher.kt
@@ -13,34 +13,34 @@
 import io.carawaytrack.model.notRun
 
 /** When a caller that found every upstream taken may come back, in milliseconds: some requests have ended by then. */
-private const val BUSY_RETRY_MILLIS = 400L
+private const val POOL_EXHAUSTED_RETRY_AFTER_MILLIS = 400L
 
 /** When a caller that this host refuses while it stops may come back to another one, in milliseconds: at once. */
-private const val SHUTDOWN_RETRY_MILLIS = 20L
+private const val SHUTDOWN_RETRY_AFTER_MILLIS = 20L
 
 /** Tokens that an event usually holds; engines differ little. */
 private const val TOKENS_PER_EVENT = 7
 
-internal class Dispatch(
+internal class Dispatcher(
     settings: GatewaySettings,
-    override val vocabulary: HeaderNames,
+    override val headerNames: HeaderNames,
     private val upstreams: UpstreamDirectory,
-    private val rollouts: RolloutWatch,
+    private val rollouts: RolloutTracker,
     private val connections: UpstreamConnections,
     private val meters: GatewayMeters,
     private val nowMillis: () -> Long,
-) : ExchangeHost {
-    private val budgets = RepeatBudgets(settings.retries, { upstreams.hosts }, nowMillis)
+) : ExchangeContext {
+    private val budgets = RetryBudgets(settings.retries, { upstreams.hosts }, nowMillis)
     private val models = ModelPolicy(nowMillis)
     private val log = RequestLog(nowMillis)
-    private val line = WaitingLine<Exchange>(nowMillis)
+    private val queue = WaitQueue<Exchange>(nowMillis)
     private val active = LinkedHashSet<Exchange>()
 
     /** Version of the configuration in force, for the log. */
     var configuration: Long? = null
 
     val unfinished: Int get() = active.size
-    val waiting: Int get() = line.size
+    val waiting: Int get() = queue.size
 
     override fun nowMillis(): Long = nowMillis.invoke()
 
@@ -55,76 +55,76 @@
         active += exchange
         if (pool == null) return exchange.fail(ErrorKind.NoHealthyUpstream.notRun("the route has no pool"))
         if (draining && request.route.streaming) {
-            return exchange.fail(ErrorKind.ShuttingDown.notRun(retryAfterMillis = SHUTDOWN_RETRY_MILLIS))
+            return exchange.fail(ErrorKind.ShuttingDown.notRun(retryAfterMillis = SHUTDOWN_RETRY_AFTER_MILLIS))
         }
-        if (request.anyModel) exchange.modelIndex = models.first(request.route, pool)
-        budgets.requested(pool.name)
+        if (request.gatewayChoosesModel) exchange.modelIndex = models.firstModel(request.route, pool)
+        budgets.recordRequest(pool.name)
         enqueue(exchange)
     }
 
     /** Looks at deadlines, silent upstreams and waiting requests. */
     fun tick() {
         active.toList().forEach { it.tick() }
-        line.expired().forEach { it.fail(busy(it)) }
+        queue.expired().forEach { it.fail(poolExhausted(it)) }
         offerWaiting()
     }
 
     /** Sends waiting requests for which there is room now. */
-    fun offerWaiting() = line.offer { it.phase != ExchangePhase.Waiting || place(it) }
+    fun offerWaiting() = queue.offer { it.phase != ExchangePhase.Waiting || tryPlace(it) }
 
-    override fun mayRepeat(exchange: Exchange): Boolean = exchange.pool?.let { budgets.tryRepeat(it.name) } == true
+    override fun tryRetry(exchange: Exchange): Boolean = exchange.pool?.let { budgets.tryRetry(it.name) } == true
 
     override fun enqueue(exchange: Exchange) {
-        if (place(exchange)) return
+        if (tryPlace(exchange)) return
         val pool = exchange.pool ?: return
         val session = exchange.request.session
-        if (upstreams.hasNobodyFor(pool.name, session)) return exchange.fail(nobody(exchange))
-        line.add(exchange).forEach { it.fail(busy(it)) }
+        if (upstreams.hasNoUpstream(pool.name, session)) return exchange.fail(noUpstream(exchange))
+        queue.add(exchange).forEach { it.fail(poolExhausted(it)) }
     }
 
     /** Writes where an attempt goes: of every further one, and of the first ones of sampled requests. */
-    private fun notePlaced(
+    private fun logPlacement(
         exchange: Exchange,
         model: String?,
     ) {
-        if (exchange.tries == 1 && !log.isSampled(exchange.request.id)) return
-        val detail = mapOf("model" to model, "attempt" to exchange.tries, "waitedMillis" to exchange.waitedMillis)
-        noted(exchange, "request_placed", detail)
+        if (exchange.attempts == 1 && !log.isSampled(exchange.request.id)) return
+        val detail = mapOf("model" to model, "attempt" to exchange.attempts, "waitedMillis" to exchange.waitedMillis)
+        logExchange(exchange, "request_placed", detail)
     }
 
-    private fun nobody(exchange: Exchange) = when {
-        exchange.hasNotRun -> ErrorKind.NoHealthyUpstream.notRun(retryAfterMillis = NOBODY_RETRY_MILLIS)
-        else -> lost(exchange)
+    private fun noUpstream(exchange: Exchange) = when {
+        exchange.hasNotRun -> ErrorKind.NoHealthyUpstream.notRun(retryAfterMillis = NO_UPSTREAM_RETRY_AFTER_MILLIS)
+        else -> attemptsExhausted(exchange)
     }
 
-    private fun busy(exchange: Exchange) = when {
-        exchange.hasNotRun -> ErrorKind.PoolExhausted.notRun(retryAfterMillis = BUSY_RETRY_MILLIS)
-        else -> lost(exchange)
+    private fun poolExhausted(exchange: Exchange) = when {
+        exchange.hasNotRun -> ErrorKind.PoolExhausted.notRun(retryAfterMillis = POOL_EXHAUSTED_RETRY_AFTER_MILLIS)
+        else -> attemptsExhausted(exchange)
     }
 
-    private fun lost(exchange: Exchange) = Failure(
+    private fun attemptsExhausted(exchange: Exchange) = Failure(
         ErrorKind.UpstreamFailed,
         Execution.MayHaveRun,
-        "no other upstream can go on with the request after ${exchange.tries} attempts",
+        "no other upstream can go on with the request after ${exchange.attempts} attempts",
     )
 
     /** Sends the exchange if an upstream can take it now. */
-    private fun place(exchange: Exchange): Boolean {
+    private fun tryPlace(exchange: Exchange): Boolean {
         val pool = exchange.pool ?: return false
         val request = exchange.request
-        val model = if (request.anyModel) request.route.models.getOrNull(exchange.modelIndex) else null
-        val need =
-            UpstreamNeed(
+        val model = if (request.gatewayChoosesModel) request.route.models.getOrNull(exchange.modelIndex) else null
+        val criteria =
+            SelectionCriteria(
                 pool = pool,
                 session = request.session,
                 demand = request.demand,
                 model = model.orEmpty(),
-                avoided = exchange.avoided,
-                mayReturn = exchange.hasNotRun,
+                excluded = exchange.excluded,
+                allowExcluded = exchange.hasNotRun,
             )
-        val target = upstreams.choose(need) ?: return false
+        val target = upstreams.choose(criteria) ?: return false
         exchange.sendTo(target, model)
-        notePlaced(exchange, model)
+        logPlacement(exchange, model)
         return true
     }
 
@@ -132,9 +132,9 @@
         exchange: Exchange,
         target: UpstreamState,
         attempt: Attempt,
-    ) = connections.send(target.upstream.address, attempt, unrepeatable = !exchange.request.route.repeatable)
+    ) = connections.send(target.upstream.address, attempt, nonRetryable = !exchange.request.route.repeatable)
 
-    override fun observed(
+    override fun recordOutcome(
         exchange: Exchange,
         upstream: FleetUpstream,
         good: Boolean,
@@ -142,19 +142,19 @@
     ) {
         meters.attemptEnded(upstream, good)
         val rollout = upstreams.rolloutOf(upstream.pool) ?: return
-        rollouts.observed(rollout, exchange.request.route.name, upstream.version, good, tookMillis)
+        rollouts.recordOutcome(rollout, exchange.request.route.name, upstream.version, good, tookMillis)
     }
 
-    override fun left(exchange: Exchange) {
-        openAttempt(exchange)?.let(rollouts::left)
-        if (exchange.target != null && !exchange.answerBegun) learnWait(exchange)
+    override fun attemptAbandoned(exchange: Exchange) {
+        openAttempt(exchange)?.let(rollouts::recordAbandoned)
+        if (exchange.target != null && !exchange.hasResponseHead) recordWait(exchange)
     }
 
     /** Takes in how long the attempt by the route's largest model has taken so far. */
-    private fun learnWait(exchange: Exchange) {
+    private fun recordWait(exchange: Exchange) {
         val request = exchange.request
-        if (!request.anyModel || exchange.modelIndex != request.route.models.lastIndex) return
-        models.learnWait(request.route, nowMillis() - exchange.sentAtMillis)
+        if (!request.gatewayChoosesModel || exchange.modelIndex != request.route.models.lastIndex) return
+        models.recordWait(request.route, nowMillis() - exchange.sentAtMillis)
     }
 
     /** Returns what has been seen of each running roll-out up to now. */
@@ -167,47 +167,68 @@
         return OpenAttempt(rollout, exchange.request.route.name, upstream.version, elapsedMillis)
     }
 
-    override fun answeredBy(
+    override fun responseStarted(
         exchange: Exchange,
         confidence: Int?,
     ) {
         val request = exchange.request
-        if (confidence != null && request.anyModel) {
-            models.learn(request.route, exchange.modelIndex, request.demand, confidence)
-            learnWait(exchange)
+        if (confidence != null && request.gatewayChoosesModel) {
+            models.recordConfidence(request.route, exchange.modelIndex, request.demand, confidence)
+            recordWait(exchange)
         }
     }
 
-    override fun largerModel(
+    override fun escalationModel(
         exchange: Exchange,
         confidence: Int?,
     ): Int? {
         val request = exchange.request
-        if (confidence == null || !request.anyModel || exchange.runs >= request.route.maxAttempts) return null
-        val onTimeLeftMillis = exchange.onTimeUntilMillis - nowMillis()
-        val larger = models.larger(request.route, exchange.modelIndex, request.demand, confidence, onTimeLeftMillis)
-        if (larger == null || exchange.pool?.let { budgets.tryEscalation(it.name) } != true) return null
-        val detail = mapOf("confidence" to confidence, "toModelIndex" to larger, "onTimeLeftMillis" to onTimeLeftMillis)
-        noted(exchange, "answer_dropped", detail)
-        return larger
+        if (confidence == null ||
+            !request.gatewayChoosesModel ||
+            exchange.possibleRuns >= request.route.maxAttempts
+        ) {
+            return null
+        }
+        val onTimeRemainingMillis = exchange.onTimeUntilMillis - nowMillis()
+        val escalatedTo =
+            models.escalationTarget(
+                request.route,
+                exchange.modelIndex,
+                request.demand,
+                confidence,
+                onTimeRemainingMillis,
+            )
+        if (escalatedTo == null || exchange.pool?.let { budgets.tryEscalation(it.name) } != true) return null
+        val detail =
+            mapOf(
+                "confidence" to confidence,
+                "toModelIndex" to escalatedTo,
+                "onTimeLeftMillis" to onTimeRemainingMillis,
+            )
+        logExchange(exchange, "answer_dropped", detail)
+        return escalatedTo
     }
 
-    override fun noted(
+    override fun logExchange(
         exchange: Exchange,
         event: String,
         detail: Map<String, Any?>,
     ) = log.write(event, exchange, configuration, detail)
 
-    override fun ended(end: ExchangeEnd) {
-        val exchange = end.exchange
+    override fun exchangeEnded(outcome: ExchangeOutcome) {
+        val exchange = outcome.exchange
         active -= exchange
-        line.remove(exchange)
-        meters.requestEnded(end.summary(nowMillis()))
-        if (end.complete && exchange.events > 0) {
-            models.learnLength(exchange.request.route, exchange.events * TOKENS_PER_EVENT)
+        queue.remove(exchange)
+        meters.requestEnded(outcome.summary(nowMillis()))
+        if (outcome.isComplete && exchange.events > 0) {
+            models.recordOutputLength(exchange.request.route, exchange.events * TOKENS_PER_EVENT)
+        }
+        val ordinary = outcome.isComplete && exchange.attempts == 1
+        if (!ordinary ||
+            log.isSampled(exchange.request.id)
+        ) {
+            logExchange(exchange, "request_ended", outcome.fields(nowMillis()))
         }
-        val ordinary = end.complete && exchange.tries == 1
-        if (!ordinary || log.isSampled(exchange.request.id)) noted(exchange, "request_ended", end.fields(nowMillis()))
         offerWaiting()
     }
 }
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/EventScanner.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/EventScanner.kt
@@ -27,31 +27,31 @@
         private set
 
     /** Whether the stream has been cut by events that don't follow one another or don't end. */
-    var damaged = false
+    var corrupted = false
         private set
 
     /** Whether nothing of an unfinished event is kept. */
     val isAtBoundary: Boolean get() = !partial.isReadable
 
     /** Takes [bytes], which it releases, and returns whole events that have become known, for the caller to release. */
-    fun take(
+    fun append(
         bytes: ByteBuf,
         allocator: ByteBufAllocator,
     ): ByteBuf {
-        val all = join(bytes, allocator)
-        val end = endOfLastEvent(all)
+        val joined = join(bytes, allocator)
+        val end = endOfLastEvent(joined)
         if (end < 0) {
-            partial = all
-            damaged = damaged || all.readableBytes() > MAX_EVENT_BYTES
+            partial = joined
+            corrupted = corrupted || joined.readableBytes() > MAX_EVENT_BYTES
             return Unpooled.EMPTY_BUFFER
         }
-        val whole = all.readRetainedSlice(end - all.readerIndex())
-        partial = if (all.isReadable) all else Unpooled.EMPTY_BUFFER.also { all.release() }
-        return onlyNew(whole, allocator)
+        val complete = joined.readRetainedSlice(end - joined.readerIndex())
+        partial = if (joined.isReadable) joined else Unpooled.EMPTY_BUFFER.also { joined.release() }
+        return withoutDuplicates(complete, allocator)
     }
 
     /** Forgets an unfinished event, because its upstream has stopped. */
-    fun dropPartial() {
+    fun discardPartial() {
         partial.release()
         partial = Unpooled.EMPTY_BUFFER
     }
@@ -88,36 +88,36 @@
     }
 
     /** Drops events that the caller has already, after a stream has gone on at another upstream. */
-    private fun onlyNew(
-        whole: ByteBuf,
+    private fun withoutDuplicates(
+        complete: ByteBuf,
         allocator: ByteBufAllocator,
     ): ByteBuf {
-        var kept: ByteBuf? = null
-        val first = whole.readerIndex()
+        var filtered: ByteBuf? = null
+        val first = complete.readerIndex()
         var start = first
-        while (start < whole.writerIndex()) {
-            val end = endOfFirstEvent(whole, start)
-            val id = idWithin(whole, start, end)
-            val repeated = isRepeated(id)
-            if (repeated && kept == null) kept = allocator.buffer().writeBytes(whole, first, start - first)
-            if (!repeated) {
-                noteId(id)
+        while (start < complete.writerIndex()) {
+            val end = endOfFirstEvent(complete, start)
+            val id = idWithin(complete, start, end)
+            val duplicate = isDuplicate(id)
+            if (duplicate && filtered == null) filtered = allocator.buffer().writeBytes(complete, first, start - first)
+            if (!duplicate) {
+                recordId(id)
                 events++
-                kept?.writeBytes(whole, start, end - start)
+                filtered?.writeBytes(complete, start, end - start)
             }
             start = end
         }
-        if (kept == null) return whole
-        whole.release()
-        return kept
+        if (filtered == null) return complete
+        complete.release()
+        return filtered
     }
 
-    private fun isRepeated(id: String?): Boolean {
+    private fun isDuplicate(id: String?): Boolean {
         val number = id?.toLongOrNull() ?: return false
         return number <= (lastNumber ?: return false)
     }
 
-    private fun noteId(id: String?) {
+    private fun recordId(id: String?) {
         if (id == null) return
         lastId = id
         lastNumber = id.toLongOrNull()
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Exchange.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Exchange.kt
@@ -19,43 +19,43 @@
 private const val DEAD_STREAM_MILLIS = 3_000L
 
 /** Part of the time to the first event that an attempt may take before a suspected upstream is left. */
-private const val FIRST_EVENT_PART = 0.45
+private const val FIRST_EVENT_RATIO = 0.45
 
 /** Time left below which another attempt can't bring an answer any more, in milliseconds. */
-private const val LEAST_LEFT_MILLIS = 20L
+private const val MIN_REMAINING_MILLIS = 20L
 
 /** Time for which a call on a service may be unanswered before it is repeated elsewhere, in latency targets. */
-private const val REPEAT_AFTER_TARGETS = 1.2
+private const val RETRY_AFTER_TARGET_RATIO = 1.2
 
 /** Part of the time to the first event, as a divisor, that a stream waits for an upstream with room. */
-private const val STREAM_PATIENCE_DIVISOR = 3
+private const val STREAM_MAX_WAIT_DIVISOR = 3
 
 /** Time that a call on a service waits for an upstream with room, in milliseconds: most of its callers' patience. */
-private const val CALL_PATIENCE_MILLIS = 700L
+private const val CALL_MAX_WAIT_MILLIS = 700L
 
 internal class Exchange(
     val request: CallerRequest,
     val pool: CatalogPool?,
     private val caller: CallerConnection,
-    private val host: ExchangeHost,
+    private val context: ExchangeContext,
 ) : CallerListener,
     AttemptListener,
-    Waiter {
+    QueuedRequest {
     override val rank: Int get() = request.rank
     override val arrivedAtMillis: Long get() = waitingSinceMillis
     override val onTimeUntilMillis: Long get() = request.arrivedAtMillis + route.latencyTargetMillis
-    override val patienceMillis: Long
-        get() = if (route.streaming) route.latencyTargetMillis / STREAM_PATIENCE_DIVISOR else CALL_PATIENCE_MILLIS
+    override val maxWaitMillis: Long
+        get() = if (route.streaming) route.latencyTargetMillis / STREAM_MAX_WAIT_DIVISOR else CALL_MAX_WAIT_MILLIS
 
     var phase = ExchangePhase.Waiting
         private set
 
     /** Upstreams to which the request was sent and that may have run it. */
-    var runs = 0
+    var possibleRuns = 0
         private set
 
     /** Attempts in all. */
-    var tries = 0
+    var attempts = 0
         private set
 
     /** Time for which it has waited for an upstream with room, over all attempts. */
@@ -63,7 +63,7 @@
         private set
 
     /** Upstreams that this request is not sent to again. */
-    val avoided = HashSet<UpstreamId>()
+    val excluded = HashSet<UpstreamId>()
 
     /** Position of the model to ask, on routes that leave the choice to the gateway. */
     var modelIndex = 0
@@ -75,20 +75,20 @@
         private set
 
     private val route get() = request.route
-    private val relay = AnswerRelay(request, caller, host.vocabulary)
+    private val relay = ResponseRelay(request, caller, context.headerNames)
     private var attempt: Attempt? = null
     var sentAtMillis = 0L
         private set
-    private var lastContentMillis = 0L
+    private var lastContentAtMillis = 0L
     private var response: HttpResponse? = null
-    private var callerLeft = false
+    private var callerDisconnected = false
     private var mayHaveRun = false
 
     /** Whole events that the caller was sent. */
     val events: Int get() = relay.events
 
     /** Whether the present attempt has brought the head of an answer. */
-    val answerBegun: Boolean get() = response != null
+    val hasResponseHead: Boolean get() = response != null
 
     /** Whether it is known that no upstream ran the request or ever will. */
     val hasNotRun: Boolean get() = !mayHaveRun
@@ -96,7 +96,7 @@
     private val execution get() = if (hasNotRun) Execution.NotRun else Execution.MayHaveRun
 
     init {
-        caller.listenWith(this)
+        caller.setListener(this)
     }
 
     /** Sends the request to [upstream], as the attempt that the gateway decided on. */
@@ -104,91 +104,101 @@
         upstream: UpstreamState,
         model: String?,
     ) {
-        val now = host.nowMillis()
-        val leftMillis = request.endsAtMillis - now
-        val sent = request.forUpstream(upstream.upstream, host.vocabulary, leftMillis, model, relay.lastEventId)
-        val next = Attempt(sent, host.vocabulary.attemptId, this)
+        val now = context.nowMillis()
+        val remainingMillis = request.deadlineAtMillis - now
+        val sent =
+            request.forUpstream(
+                upstream.upstream,
+                context.headerNames,
+                remainingMillis,
+                model,
+                relay.lastEventId,
+            )
+        val next = Attempt(sent, context.headerNames.attemptId, this)
         phase = ExchangePhase.Sent
         target = upstream
         attempt = next
         response = null
         sentAtMillis = now
         waitedMillis += now - waitingSinceMillis
-        lastContentMillis = now
-        tries++
-        runs++
-        upstream.started()
-        host.send(this, upstream, next)
+        lastContentAtMillis = now
+        attempts++
+        possibleRuns++
+        upstream.requestStarted()
+        context.send(this, upstream, next)
     }
 
     /** Takes the time: ends the exchange when its time is over, and leaves an upstream that has gone silent. */
     fun tick() {
-        val now = host.nowMillis()
+        val now = context.nowMillis()
         when {
-            phase == ExchangePhase.Over -> return
-            now >= request.endsAtMillis -> timeOut()
-            phase == ExchangePhase.Sent && isStalled(now) -> leaveSilentUpstream()
+            phase == ExchangePhase.Ended -> return
+            now >= request.deadlineAtMillis -> timeOut()
+            phase == ExchangePhase.Sent && isStalled(now) -> abandonUnresponsiveUpstream()
         }
     }
 
     private fun timeOut() {
-        host.left(this)
-        release(cancel = true)
+        context.attemptAbandoned(this)
+        releaseAttempt(cancel = true)
         val kind = if (hasNotRun) ErrorKind.PoolExhausted else ErrorKind.UpstreamTimeout
-        fail(Failure(kind, execution, "no answer within ${request.endsAtMillis - request.arrivedAtMillis} ms"))
+        fail(Failure(kind, execution, "no answer within ${request.deadlineAtMillis - request.arrivedAtMillis} ms"))
     }
 
     private fun isStalled(now: Long): Boolean {
         val upstream = target ?: return false
-        if (!route.repeatable || !relay.canGoOn) return false
-        val quietMillis = now - maxOf(lastContentMillis, sentAtMillis)
+        if (!route.repeatable || !relay.canResume) return false
+        val sinceContentMillis = now - maxOf(lastContentAtMillis, sentAtMillis)
         return when {
-            !route.streaming -> quietMillis > route.latencyTargetMillis * REPEAT_AFTER_TARGETS && tries == 1
-            upstream.gone -> quietMillis > STALLED_STREAM_MILLIS
-            upstream.isSuspect ->
-                quietMillis > minOf(STALLED_STREAM_MILLIS, (route.latencyTargetMillis * FIRST_EVENT_PART).toLong())
-            else -> quietMillis > maxOf(DEAD_STREAM_MILLIS, route.latencyTargetMillis)
+            !route.streaming ->
+                sinceContentMillis > route.latencyTargetMillis * RETRY_AFTER_TARGET_RATIO &&
+                    attempts == 1
+            upstream.departed -> sinceContentMillis > STALLED_STREAM_MILLIS
+            upstream.isSuspectedUnhealthy ->
+                sinceContentMillis >
+                    minOf(STALLED_STREAM_MILLIS, (route.latencyTargetMillis * FIRST_EVENT_RATIO).toLong())
+            else -> sinceContentMillis > maxOf(DEAD_STREAM_MILLIS, route.latencyTargetMillis)
         }
     }
 
-    private fun leaveSilentUpstream() {
-        val left = target ?: return
-        if (!mayGoOn()) return
-        host.noted(this, "upstream_silent", mapOf("owedMillis" to left.owedMillis))
-        left.failed()
-        host.left(this)
-        avoided += left.upstream.id
-        release(cancel = true)
+    private fun abandonUnresponsiveUpstream() {
+        val abandoned = target ?: return
+        if (!tryRetry()) return
+        context.logExchange(this, "upstream_silent", mapOf("owedMillis" to abandoned.unansweredMillis))
+        abandoned.recordFailure()
+        context.attemptAbandoned(this)
+        excluded += abandoned.upstream.id
+        releaseAttempt(cancel = true)
         waitForUpstream()
     }
 
     override fun head(response: HttpResponse) {
         val upstream = target ?: return
-        upstream.answered()
+        upstream.bytesReceived()
         val headers = response.headers()
-        reportedLoad(headers[host.vocabulary.load])?.let(upstream::reported)
+        reportedLoad(headers[context.headerNames.load])?.let(upstream::applyLoadReport)
         this.response = response
-        firstByteMillis = firstByteMillis ?: (host.nowMillis() - request.arrivedAtMillis)
+        firstByteMillis = firstByteMillis ?: (context.nowMillis() - request.arrivedAtMillis)
         if (!response.isSuccess()) return
-        val confidence = headers[host.vocabulary.confidence]?.toIntOrNull()
-        host.answeredBy(this, confidence)
-        if (relay.isStream(response) && !relay.begun) host.largerModel(this, confidence)?.let(::ask)
+        val confidence = headers[context.headerNames.confidence]?.toIntOrNull()
+        context.responseStarted(this, confidence)
+        if (relay.isStream(response) && !relay.started) context.escalationModel(this, confidence)?.let(::escalateTo)
     }
 
     /** Drops the answer that has begun, of which the caller has received nothing, for one by a larger model. */
-    private fun ask(larger: Int) {
-        release(cancel = true)
-        modelIndex = larger
+    private fun escalateTo(index: Int) {
+        releaseAttempt(cancel = true)
+        modelIndex = index
         waitForUpstream()
     }
 
     override fun content(bytes: ByteBuf) {
         val head = response
-        lastContentMillis = host.nowMillis()
-        target?.answered()
+        lastContentAtMillis = context.nowMillis()
+        target?.bytesReceived()
         if (head == null || phase != ExchangePhase.Sent) {
             bytes.release()
-        } else if (!relay.take(head, bytes)) {
+        } else if (!relay.receiveContent(head, bytes)) {
             failed(AttemptEnd.Broken)
         }
     }
@@ -197,29 +207,29 @@
 
     override fun complete() {
         val head = response ?: return failed(AttemptEnd.Broken)
-        val refusal = head.refusal(host.vocabulary)
+        val refusal = head.refusal(context.headerNames)
         when {
             refusal != null -> refusedByUpstream(head, refusal)
-            !relay.isWhole(head) -> failed(AttemptEnd.Broken)
-            head.isFailure() && !relay.begun && mayGoOn() -> failedByUpstream(head)
+            !relay.isComplete(head) -> failed(AttemptEnd.Broken)
+            head.isFailure() && !relay.started && tryRetry() -> failedByUpstream(head)
             else -> finish(head)
         }
     }
 
     private fun finish(head: HttpResponse) {
-        observe(good = !head.isFailure())
+        recordOutcome(good = !head.isFailure())
         mayHaveRun = true
-        letGo()
+        detachAttempt()
         end(head.status().code(), failure = null)
-        if (callerLeft) relay.forgetUnsent() else relay.finish(head)
+        if (callerDisconnected) relay.discardUnsent() else relay.finish(head)
     }
 
     /** Leaves an upstream that ran the request and failed it. */
     private fun failedByUpstream(head: HttpResponse) {
-        observe(good = false)
-        host.noted(this, "upstream_failed_request", mapOf("status" to head.status().code()))
-        target?.let { avoided += it.upstream.id }
-        release(cancel = false)
+        recordOutcome(good = false)
+        context.logExchange(this, "upstream_failed_request", mapOf("status" to head.status().code()))
+        target?.let { excluded += it.upstream.id }
+        releaseAttempt(cancel = false)
         waitForUpstream()
     }
 
@@ -229,17 +239,21 @@
         refusal: UpstreamRefusal,
     ) {
         val upstream = target ?: return
-        host.noted(this, "upstream_refused", mapOf("status" to head.status().code(), "refusal" to refusal.name))
-        runs--
+        context.logExchange(
+            this,
+            "upstream_refused",
+            mapOf("status" to head.status().code(), "refusal" to refusal.name),
+        )
+        possibleRuns--
         when (refusal) {
-            UpstreamRefusal.AnotherUpstream -> upstream.gone = true
-            UpstreamRefusal.Full -> upstream.full()
-            UpstreamRefusal.Rejected -> avoided += upstream.upstream.id
+            UpstreamRefusal.AnotherUpstream -> upstream.departed = true
+            UpstreamRefusal.Full -> upstream.markFull()
+            UpstreamRefusal.Rejected -> excluded += upstream.upstream.id
         }
-        release(cancel = false, ran = false)
+        releaseAttempt(cancel = false, ran = false)
         when {
-            callerLeft -> abandon()
-            refusal == UpstreamRefusal.Rejected && tries >= MOST_REJECTIONS ->
+            callerDisconnected -> abandon()
+            refusal == UpstreamRefusal.Rejected && attempts >= MAX_REJECTIONS ->
                 fail(Failure(ErrorKind.NoHealthyUpstream, execution, "upstreams reject the request"))
             else -> waitForUpstream()
         }
@@ -247,83 +261,83 @@
 
     override fun failed(end: AttemptEnd) {
         val upstream = target
-        if (phase == ExchangePhase.Over || upstream == null) return
+        if (phase == ExchangePhase.Ended || upstream == null) return
         val neverSent = end == AttemptEnd.NotConnected
-        host.noted(this, "attempt_failed", mapOf("end" to end.name, "answerBegun" to (response != null)))
+        context.logExchange(this, "attempt_failed", mapOf("end" to end.name, "answerBegun" to (response != null)))
         if (neverSent) {
-            runs--
+            possibleRuns--
             upstream.pause()
         } else if (end == AttemptEnd.Broken) {
-            observe(good = false)
+            recordOutcome(good = false)
         }
-        upstream.doubtWarmth(DOUBT_MILLIS)
-        avoided += upstream.upstream.id
-        release(cancel = true, ran = !neverSent)
+        upstream.assumeCold(ASSUMED_COLD_MILLIS)
+        excluded += upstream.upstream.id
+        releaseAttempt(cancel = true, ran = !neverSent)
         when {
-            callerLeft -> abandon()
-            neverSent || mayGoOn() -> waitForUpstream()
+            callerDisconnected -> abandon()
+            neverSent || tryRetry() -> waitForUpstream()
             else -> fail(Failure(ErrorKind.UpstreamFailed, execution, "the upstream broke off: $end"))
         }
     }
 
-    private fun observe(good: Boolean) {
+    private fun recordOutcome(good: Boolean) {
         val upstream = target ?: return
-        if (good) upstream.succeeded() else upstream.failed()
-        host.observed(this, upstream.upstream, good, host.nowMillis() - sentAtMillis)
+        if (good) upstream.recordSuccess() else upstream.recordFailure()
+        context.recordOutcome(this, upstream.upstream, good, context.nowMillis() - sentAtMillis)
     }
 
     /** Lets go of the attempt and of what it brought that the caller has not; [ran] tells whether it may have run. */
-    private fun release(
+    private fun releaseAttempt(
         cancel: Boolean,
         ran: Boolean = true,
     ) {
         if (attempt != null && ran) mayHaveRun = true
         if (cancel) attempt?.cancel()
-        letGo()
-        relay.forgetUnsent()
+        detachAttempt()
+        relay.discardUnsent()
     }
 
-    private fun letGo() {
-        if (attempt != null) target?.ended()
+    private fun detachAttempt() {
+        if (attempt != null) target?.requestEnded()
         attempt = null
         target = null
     }
 
     /** Returns whether the request may be sent to another upstream although one may have run it. */
-    private fun mayGoOn(): Boolean {
-        val inTime = request.endsAtMillis - host.nowMillis() >= LEAST_LEFT_MILLIS
-        val allowed = route.repeatable && relay.canGoOn && runs < route.maxAttempts
-        return allowed && inTime && !callerLeft && host.mayRepeat(this)
+    private fun tryRetry(): Boolean {
+        val inTime = request.deadlineAtMillis - context.nowMillis() >= MIN_REMAINING_MILLIS
+        val allowed = route.repeatable && relay.canResume && possibleRuns < route.maxAttempts
+        return allowed && inTime && !callerDisconnected && context.tryRetry(this)
     }
 
     private fun waitForUpstream() {
         phase = ExchangePhase.Waiting
-        waitingSinceMillis = host.nowMillis()
-        host.enqueue(this)
+        waitingSinceMillis = context.nowMillis()
+        context.enqueue(this)
     }
 
     /** Ends the exchange by [failure]; a promise that nothing ran is only made where it is known. */
     fun fail(failure: Failure) {
-        if (phase == ExchangePhase.Over) return
-        val answer = answerTo(failure)
-        end(answer.status, failure.kind)
-        if (callerLeft) answer.content.release() else relay.end(answer)
+        if (phase == ExchangePhase.Ended) return
+        val reply = localReplyTo(failure)
+        end(reply.status, failure.kind)
+        if (callerDisconnected) reply.content.release() else relay.endWith(reply)
     }
 
-    override fun callerGone() {
-        if (phase == ExchangePhase.Over) return
-        callerLeft = true
-        val letItRun = phase == ExchangePhase.Sent && !route.repeatable && !route.streaming
-        if (!letItRun) abandon()
+    override fun onCallerDisconnected() {
+        if (phase == ExchangePhase.Ended) return
+        callerDisconnected = true
+        val letRequestFinish = phase == ExchangePhase.Sent && !route.repeatable && !route.streaming
+        if (!letRequestFinish) abandon()
     }
 
     private fun abandon() {
-        host.left(this)
-        release(cancel = true)
+        context.attemptAbandoned(this)
+        releaseAttempt(cancel = true)
         end(ErrorKind.CallerGone.status, ErrorKind.CallerGone)
     }
 
-    override fun callerWritable(writable: Boolean) {
+    override fun onCallerWritable(writable: Boolean) {
         attempt?.pauseReading(!writable)
     }
 
@@ -331,16 +345,16 @@
         status: Int,
         failure: ErrorKind?,
     ) {
-        phase = ExchangePhase.Over
+        phase = ExchangePhase.Ended
         request.body.release()
-        host.ended(ExchangeEnd(this, status, failure))
+        context.exchangeEnded(ExchangeOutcome(this, status, failure))
     }
 
     private companion object {
         /** Refusals of a request by its form after which it isn't tried elsewhere. */
-        const val MOST_REJECTIONS = 3
+        const val MAX_REJECTIONS = 3
 
         /** Time for which an upstream that broke off may be a freshly started one, in milliseconds. */
-        const val DOUBT_MILLIS = 1_500L
+        const val ASSUMED_COLD_MILLIS = 1_500L
     }
 }
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/ExchangeHost.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/ExchangeContext.kt
@@ -8,15 +8,15 @@
 import io.carawaytrack.model.Execution
 
 /** Says what an exchange waits for. */
-internal enum class ExchangePhase { Waiting, Sent, Over }
+internal enum class ExchangePhase { Waiting, Sent, Ended }
 
 /** Holds what is known of one exchange's end, for the log and the metrics; [failure] is null for an answer. */
-internal class ExchangeEnd(
+internal class ExchangeOutcome(
     val exchange: Exchange,
     private val status: Int,
     private val failure: ErrorKind?,
 ) {
-    val complete: Boolean get() = failure == null
+    val isComplete: Boolean get() = failure == null
 
     fun summary(nowMillis: Long): EndedRequest = EndedRequest(
         organisation = exchange.request.organisation?.name,
@@ -35,13 +35,13 @@
         "tookMillis" to nowMillis - exchange.request.arrivedAtMillis,
         "firstByteMillis" to exchange.firstByteMillis,
         "waitedMillis" to exchange.waitedMillis,
-        "tries" to exchange.tries,
+        "tries" to exchange.attempts,
     )
 }
 
 /** What an exchange asks of its gateway. */
-internal interface ExchangeHost {
-    val vocabulary: HeaderNames
+internal interface ExchangeContext {
+    val headerNames: HeaderNames
 
     fun nowMillis(): Long
 
@@ -56,10 +56,10 @@
     )
 
     /** Takes one repeat from the budget of the route's pool. */
-    fun mayRepeat(exchange: Exchange): Boolean
+    fun tryRetry(exchange: Exchange): Boolean
 
     /** Counts what an attempt showed of its upstream's version, and how long it took. */
-    fun observed(
+    fun recordOutcome(
         exchange: Exchange,
         upstream: FleetUpstream,
         good: Boolean,
@@ -67,25 +67,25 @@
     )
 
     /** Takes in that the exchange leaves its attempt, which has not ended. */
-    fun left(exchange: Exchange)
+    fun attemptAbandoned(exchange: Exchange)
 
     /** Takes in an answer's head, for the model that gave it. */
-    fun answeredBy(
+    fun responseStarted(
         exchange: Exchange,
         confidence: Int?,
     )
 
     /** Returns the position of the model whose answer is to replace one of this [confidence], or null. */
-    fun largerModel(
+    fun escalationModel(
         exchange: Exchange,
         confidence: Int?,
     ): Int?
 
-    fun noted(
+    fun logExchange(
         exchange: Exchange,
         event: String,
         detail: Map<String, Any?>,
     )
 
-    fun ended(end: ExchangeEnd)
+    fun exchangeEnded(outcome: ExchangeOutcome)
 }
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Gateway.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Gateway.kt
@@ -38,7 +38,7 @@
 private const val TICKS_PER_PRUNE = 10
 
 /** When a caller that found no upstream at all may come back, in milliseconds: a crashed one is back by then. */
-internal const val NOBODY_RETRY_MILLIS = 800L
+internal const val NO_UPSTREAM_RETRY_AFTER_MILLIS = 800L
 
 /**
  * Sets up a gateway.
@@ -123,18 +123,18 @@
 /** Starts a gateway on the one event loop of [group]. */
 public fun Gateway(
     settings: GatewaySettings,
-    vocabulary: HeaderNames,
+    headerNames: HeaderNames,
     group: EventLoopGroup,
-    heard: () -> Collection<KnownUpstream>,
+    knownUpstreams: () -> Collection<KnownUpstream>,
     meters: GatewayMeters = GatewayMeters(),
     nowMillis: () -> Long,
-): Gateway = LoopGateway(settings, vocabulary, group, heard, meters, nowMillis).also { it.start() }
+): Gateway = LoopGateway(settings, headerNames, group, knownUpstreams, meters, nowMillis).also { it.start() }
 
 private class LoopGateway(
     private val settings: GatewaySettings,
-    private val vocabulary: HeaderNames,
+    private val headerNames: HeaderNames,
     group: EventLoopGroup,
-    private val heard: () -> Collection<KnownUpstream>,
+    private val knownUpstreams: () -> Collection<KnownUpstream>,
     meters: GatewayMeters,
     private val nowMillis: () -> Long,
 ) : Gateway {
@@ -145,17 +145,17 @@
             nowMillis,
         )
     private val connections = UpstreamConnections(group, nowMillis)
-    private val rollouts = RolloutWatch(settings.rollouts, nowMillis)
+    private val rollouts = RolloutTracker(settings.rollouts, nowMillis)
     private val upstreams = UpstreamDirectory(settings.zone, rollouts, connections, nowMillis)
-    private val dispatch = Dispatch(settings, vocabulary, upstreams, rollouts, connections, meters, nowMillis)
+    private val dispatcher = Dispatcher(settings, headerNames, upstreams, rollouts, connections, meters, nowMillis)
     private var catalog: Catalog? = null
     private var draining = false
     private var ticks = 0L
     private var listening: Channel? = null
 
-    override val unfinished: Int get() = dispatch.unfinished
+    override val unfinished: Int get() = dispatcher.unfinished
 
-    override val waiting: Int get() = dispatch.waiting
+    override val waiting: Int get() = dispatcher.waiting
 
     fun start() {
         listening = callers.listen(settings.callers)
@@ -163,29 +163,29 @@
 
     override fun apply(catalog: Catalog) {
         this.catalog = catalog
-        dispatch.configuration = catalog.version
+        dispatcher.configuration = catalog.version
     }
 
     override fun apply(view: FleetView) {
         upstreams.apply(view) { pool -> catalog?.pools?.get(pool)?.coldStartMillis ?: 0 }
-        dispatch.offerWaiting()
+        dispatcher.offerWaiting()
     }
 
     override fun updateUpstream(known: KnownUpstream) {
-        upstreams.changed(known)
+        upstreams.update(known)
         logEvent("upstream_changed", fieldsOf(known.upstream))
-        dispatch.offerWaiting()
+        dispatcher.offerWaiting()
     }
 
     override fun removeUpstream(departure: Departure) {
-        if (upstreams.gone(departure)) logEvent("upstream_gone", mapOf("upstream" to departure.id.value))
+        if (upstreams.remove(departure)) logEvent("upstream_gone", mapOf("upstream" to departure.id.value))
     }
 
     override fun setHostCount(hosts: Int) {
         upstreams.hosts = maxOf(1, hosts)
     }
 
-    override fun tallies(): List<RolloutTally> = dispatch.tallies()
+    override fun tallies(): List<RolloutTally> = dispatcher.tallies()
 
     override fun serves(
         pool: PoolName,
@@ -205,7 +205,7 @@
     ) {
         val inForce = catalog
         if (inForce == null) {
-            return refuse(request, body, caller, ErrorKind.StaleConfiguration, NOBODY_RETRY_MILLIS)
+            return refuse(request, body, caller, ErrorKind.StaleConfiguration, NO_UPSTREAM_RETRY_AFTER_MILLIS)
         }
         val path = request.uri().substringBefore('?')
         val host =
@@ -218,14 +218,14 @@
             Match.NoRoute -> refuse(request, body, caller, ErrorKind.UnknownRoute)
             Match.UnknownKey -> refuse(request, body, caller, ErrorKind.UnknownKey)
             is Match.Found -> {
-                val read = readRequest(request, body, match, vocabulary, nowMillis())
-                dispatch.begin(read, poolOf(match.route, read.id, inForce), caller, draining)
+                val callerRequest = readRequest(request, body, match, headerNames, nowMillis())
+                dispatcher.begin(callerRequest, choosePool(match.route, callerRequest.id, inForce), caller, draining)
             }
         }
     }
 
     /** Draws the pool by the weights; the same request gets the same one everywhere. */
-    private fun poolOf(
+    private fun choosePool(
         route: CatalogRoute,
         id: String,
         inForce: Catalog,
@@ -241,8 +241,8 @@
         status: HttpResponseStatus,
     ) {
         logEvent("request_malformed", mapOf("status" to status.code()))
-        val own = answerTo(ErrorKind.MalformedRequest.notRun())
-        caller.answer(status, own.headers, own.content)
+        val reply = localReplyTo(ErrorKind.MalformedRequest.notRun())
+        caller.respond(status, reply.headers, reply.content)
     }
 
     private fun refuse(
@@ -253,16 +253,16 @@
         retryAfterMillis: Long? = null,
     ) {
         body.release()
-        val id = request.headers()[vocabulary.attemptId]
+        val id = request.headers()[headerNames.attemptId]
         val fields = mapOf("requestId" to id, "reason" to kind.name, "configuration" to catalog?.version)
         logEvent("request_refused", fields)
-        val own = answerTo(kind.notRun(retryAfterMillis = retryAfterMillis))
-        caller.answer(HttpResponseStatus.valueOf(own.status), own.headers, own.content)
+        val reply = localReplyTo(kind.notRun(retryAfterMillis = retryAfterMillis))
+        caller.respond(HttpResponseStatus.valueOf(reply.status), reply.headers, reply.content)
     }
 
     override fun tick() {
-        upstreams.refresh(heard())
-        dispatch.tick()
+        upstreams.refresh(knownUpstreams())
+        dispatcher.tick()
         if (++ticks % TICKS_PER_PRUNE == 0L) prune()
     }
 
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/HttpEndpoint.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/HttpEndpoint.kt
@@ -52,7 +52,7 @@
 public fun serveEndpoint(
     address: HostPort,
     group: EventLoopGroup,
-    handle: (EndpointRequest, (EndpointResponse) -> Unit) -> Unit,
+    handler: (EndpointRequest, (EndpointResponse) -> Unit) -> Unit,
 ): AutoCloseable {
     val initializer =
         object : ChannelInitializer<SocketChannel>() {
@@ -60,7 +60,7 @@
                 channel.pipeline().addLast(
                     HttpServerCodec(),
                     HttpObjectAggregator(MAX_BODY_BYTES),
-                    EndpointHandler(handle),
+                    EndpointHandler(handler),
                 )
             }
         }
@@ -78,36 +78,36 @@
 }
 
 private class EndpointHandler(
-    private val handle: (EndpointRequest, (EndpointResponse) -> Unit) -> Unit,
+    private val handler: (EndpointRequest, (EndpointResponse) -> Unit) -> Unit,
 ) : SimpleChannelInboundHandler<FullHttpRequest>() {
     override fun channelRead0(
         context: ChannelHandlerContext,
         request: FullHttpRequest,
     ) {
         if (request.decoderResult().isFailure) {
-            answer(context, EndpointResponse(HttpResponseStatus.BAD_REQUEST.code()), keepAlive = false)
+            respond(context, EndpointResponse(HttpResponseStatus.BAD_REQUEST.code()), keepAlive = false)
             return
         }
         val keepAlive = HttpUtil.isKeepAlive(request)
         val body = ByteArray(request.content().readableBytes()).also(request.content()::readBytes)
         val call = EndpointRequest(request.method().name(), request.uri().substringBefore('?'), body)
-        handle(call) { answer(context, it, keepAlive) }
+        handler(call) { respond(context, it, keepAlive) }
     }
 
-    private fun answer(
+    private fun respond(
         context: ChannelHandlerContext,
-        answer: EndpointResponse,
+        response: EndpointResponse,
         keepAlive: Boolean,
     ) {
-        val content = Unpooled.wrappedBuffer(answer.body)
-        val status = HttpResponseStatus.valueOf(answer.status)
-        val response = DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content)
-        val headers = response.headers()
-        if (answer.body.isNotEmpty()) headers[HttpHeaderNames.CONTENT_TYPE] = answer.contentType
-        answer.location?.let { headers[HttpHeaderNames.LOCATION] = it }
-        HttpUtil.setContentLength(response, answer.body.size.toLong())
+        val content = Unpooled.wrappedBuffer(response.body)
+        val status = HttpResponseStatus.valueOf(response.status)
+        val message = DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content)
+        val headers = message.headers()
+        if (response.body.isNotEmpty()) headers[HttpHeaderNames.CONTENT_TYPE] = response.contentType
+        response.location?.let { headers[HttpHeaderNames.LOCATION] = it }
+        HttpUtil.setContentLength(message, response.body.size.toLong())
         if (!keepAlive) headers[HttpHeaderNames.CONNECTION] = HttpHeaderValues.CLOSE
-        val sent = context.writeAndFlush(response)
+        val sent = context.writeAndFlush(message)
         if (!keepAlive) sent.addListener(ChannelFutureListener.CLOSE)
     }
 
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/OwnAnswer.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/LocalReply.kt
@@ -13,7 +13,7 @@
 import io.netty.handler.codec.http.HttpHeaders
 
 /** Holds an answer of the gateway's own. */
-internal class OwnAnswer(
+internal class LocalReply(
     val status: Int,
     val headers: HttpHeaders,
     val content: ByteBuf,
@@ -22,15 +22,15 @@
 private const val MILLIS_PER_SECOND = 1_000.0
 
 /** Status codes that promise that the request has not run. */
-private val promises = setOf(408, 421, 429, 503)
+private val notRunStatuses = setOf(408, 421, 429, 503)
 
 /** Returns the answer to a caller; one that promises that nothing ran becomes 502 where that isn't known. */
-internal fun answerTo(failure: Failure): OwnAnswer {
-    val stated = failure.kind.status
-    val untrue = stated in promises && failure.execution != Execution.NotRun
-    val status = if (untrue) ErrorKind.UpstreamFailed.status else stated
+internal fun localReplyTo(failure: Failure): LocalReply {
+    val kindStatus = failure.kind.status
+    val wouldMislead = kindStatus in notRunStatuses && failure.execution != Execution.NotRun
+    val status = if (wouldMislead) ErrorKind.UpstreamFailed.status else kindStatus
     val headers = unvalidatedHeaders()
     headers[HttpHeaderNames.CONTENT_TYPE] = "text/plain; charset=utf-8"
     failure.retryAfterMillis?.let { headers[HttpHeaderNames.RETRY_AFTER] = (it / MILLIS_PER_SECOND).toString() }
-    return OwnAnswer(status, headers, Unpooled.copiedBuffer(failure.detail + "\n", Charsets.UTF_8))
+    return LocalReply(status, headers, Unpooled.copiedBuffer(failure.detail + "\n", Charsets.UTF_8))
 }
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/ModelPolicy.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/ModelPolicy.kt
@@ -16,22 +16,22 @@
 import kotlin.math.pow
 
 /** Opinion, 0 to 100, from which an answer is taken as it is. */
-private const val CONFIDENT = 70
+private const val MIN_CONFIDENCE = 70
 
 /** Opinion from which an answer is taken where another one is dear. */
-private const val CONFIDENT_WHERE_DEAR = 35
+private const val MIN_CONFIDENCE_WHEN_EXPENSIVE = 35
 
 /** Priced tokens for each generated one from which a second answer is dear: a long prompt for a short answer. */
-private const val DEAR_TOKENS_PER_ANSWER_TOKEN = 12.0
+private const val EXPENSIVE_TOKENS_PER_OUTPUT_TOKEN = 12.0
 
 /** Share of the price of a generated token that a prompt token has. */
-private const val PROMPT_TOKEN_PRICE = 0.25
+private const val PROMPT_TOKEN_PRICE_RATIO = 0.25
 
 /** Weight of the newest answer in what is learned of a route: the last fifty or so count. */
 private const val NEWEST_WEIGHT = 0.02
 
 /** Share of a route's latency target that must be left to ask another model. */
-private const val LEAST_TIME_SHARE = 0.25
+private const val MIN_TIME_RATIO = 0.25
 
 /** Weight of the newest answer in the time that a route's largest model takes: the last few count. */
 private const val NEWEST_WAIT_WEIGHT = 0.2
@@ -40,93 +40,99 @@
 private const val WAIT_HALF_LIFE_MILLIS = 2_000.0
 
 /** What has been seen of a route's answers. */
-private class RouteOpinion {
-    var acceptedShare = 0.5
-    var answerTokens = 0.0
-    var largestWaitMillis = 0.0
-    var largestSeenAtMillis = 0L
+private class RouteStatistics {
+    var acceptedRatio = 0.5
+    var outputTokens = 0.0
+    var largestModelWaitMillis = 0.0
+    var largestModelSeenAtMillis = 0L
 }
 
 internal class ModelPolicy(
     private val nowMillis: () -> Long,
 ) {
-    private val opinions = HashMap<String, RouteOpinion>()
+    private val statisticsByRoute = HashMap<String, RouteStatistics>()
 
     /** Returns the position of the model to ask first. */
-    fun first(
+    fun firstModel(
         route: CatalogRoute,
         pool: CatalogPool,
     ): Int {
-        val small = priceOf(route, pool, 0)
-        val large = priceOf(route, pool, route.models.lastIndex)
-        return if (small < opinionOf(route).acceptedShare * large) 0 else route.models.lastIndex
+        val smallestPrice = priceOf(route, pool, 0)
+        val largestPrice = priceOf(route, pool, route.models.lastIndex)
+        return if (smallestPrice < statisticsOf(route).acceptedRatio * largestPrice) 0 else route.models.lastIndex
     }
 
     /** Takes in the opinion that the model at [index] has of its answer. */
-    fun learn(
+    fun recordConfidence(
         route: CatalogRoute,
         index: Int,
         demand: PromptDemand,
         confidence: Int,
     ) {
         if (index != 0) return
-        val opinion = opinionOf(route)
-        val accepted = if (confidence >= leastConfidence(route, demand)) 1.0 else 0.0
-        opinion.acceptedShare += (accepted - opinion.acceptedShare) * NEWEST_WEIGHT
+        val statistics = statisticsOf(route)
+        val accepted = if (confidence >= requiredConfidence(route, demand)) 1.0 else 0.0
+        statistics.acceptedRatio += (accepted - statistics.acceptedRatio) * NEWEST_WEIGHT
     }
 
     /** Takes in how many tokens an answer of [route] had. */
-    fun learnLength(
+    fun recordOutputLength(
         route: CatalogRoute,
-        answerTokens: Int,
+        outputTokens: Int,
     ) {
-        val opinion = opinionOf(route)
-        val known = opinion.answerTokens
-        opinion.answerTokens =
-            if (known == 0.0) answerTokens.toDouble() else known + (answerTokens - known) * NEWEST_WEIGHT
+        val statistics = statisticsOf(route)
+        val previous = statistics.outputTokens
+        statistics.outputTokens =
+            if (previous == 0.0) outputTokens.toDouble() else previous + (outputTokens - previous) * NEWEST_WEIGHT
     }
 
     /** Takes in that the largest model began its answer after [waitMillis], or had not begun it by then. */
-    fun learnWait(
+    fun recordWait(
         route: CatalogRoute,
         waitMillis: Long,
     ) {
-        val opinion = opinionOf(route)
-        val known = expectedWaitMillis(opinion)
-        opinion.largestWaitMillis = known + (waitMillis - known) * NEWEST_WAIT_WEIGHT
-        opinion.largestSeenAtMillis = nowMillis()
+        val statistics = statisticsOf(route)
+        val previous = expectedWaitMillis(statistics)
+        statistics.largestModelWaitMillis = previous + (waitMillis - previous) * NEWEST_WAIT_WEIGHT
+        statistics.largestModelSeenAtMillis = nowMillis()
     }
 
-    private fun expectedWaitMillis(opinion: RouteOpinion): Double {
-        val unseenMillis = nowMillis() - opinion.largestSeenAtMillis
-        return opinion.largestWaitMillis * HALF.pow(unseenMillis / WAIT_HALF_LIFE_MILLIS)
+    private fun expectedWaitMillis(statistics: RouteStatistics): Double {
+        val sinceSeenMillis = nowMillis() - statistics.largestModelSeenAtMillis
+        return statistics.largestModelWaitMillis * HALF.pow(sinceSeenMillis / WAIT_HALF_LIFE_MILLIS)
     }
 
     /** Returns the position of the model whose answer is to replace the one by the model at [index], or null. */
-    fun larger(
+    fun escalationTarget(
         route: CatalogRoute,
         index: Int,
         demand: PromptDemand,
         confidence: Int,
-        onTimeLeftMillis: Long,
+        onTimeRemainingMillis: Long,
     ): Int? {
-        val last = route.models.lastIndex
-        val neededMillis = maxOf(route.latencyTargetMillis * LEAST_TIME_SHARE, expectedWaitMillis(opinionOf(route)))
-        val tooLate = onTimeLeftMillis < neededMillis
-        return last.takeIf { index < last && !tooLate && confidence < leastConfidence(route, demand) }
+        val largest = route.models.lastIndex
+        val neededMillis = maxOf(route.latencyTargetMillis * MIN_TIME_RATIO, expectedWaitMillis(statisticsOf(route)))
+        val tooLate = onTimeRemainingMillis < neededMillis
+        return largest.takeIf { index < largest && !tooLate && confidence < requiredConfidence(route, demand) }
     }
 
-    private fun leastConfidence(
+    private fun requiredConfidence(
         route: CatalogRoute,
         demand: PromptDemand,
     ): Int {
-        val answerTokens = opinionOf(route).answerTokens
-        if (answerTokens == 0.0) return CONFIDENT
-        val priced = demand.promptTokens * PROMPT_TOKEN_PRICE + answerTokens
-        return if (priced / answerTokens >= DEAR_TOKENS_PER_ANSWER_TOKEN) CONFIDENT_WHERE_DEAR else CONFIDENT
+        val outputTokens = statisticsOf(route).outputTokens
+        if (outputTokens == 0.0) return MIN_CONFIDENCE
+        val pricedTokens = demand.promptTokens * PROMPT_TOKEN_PRICE_RATIO + outputTokens
+        return if (pricedTokens / outputTokens >=
+            EXPENSIVE_TOKENS_PER_OUTPUT_TOKEN
+        ) {
+            MIN_CONFIDENCE_WHEN_EXPENSIVE
+        } else {
+            MIN_CONFIDENCE
+        }
     }
 
-    private fun opinionOf(route: CatalogRoute) = opinions.getOrPut(route.name, ::RouteOpinion)
+    private fun statisticsOf(route: CatalogRoute) = statisticsByRoute.getOrPut(route.name, ::RouteStatistics)
 
     private fun priceOf(
         route: CatalogRoute,
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Placement.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Placement.kt
@@ -16,13 +16,13 @@
 private const val FULL_ENGINE_MILLIS = 400.0
 
 /** Share of slots from which an engine's requests get in each other's way. */
-private const val CROWDED_SHARE = 0.8
+private const val CONTENTION_RATIO = 0.8
 
 /** Cost of each further share of the slots beyond [CROWDED_SHARE], in milliseconds. */
-private const val CROWDED_MILLIS = 4_000.0
+private const val CONTENTION_MILLIS = 4_000.0
 
 /** Cost of a token that has to be read, in milliseconds: the time it takes an engine, and the work others wait for. */
-private const val READ_TOKEN_MILLIS = 0.06
+private const val PREFILL_TOKEN_MILLIS = 0.06
 
 /** Cost of a request of a few tens of milliseconds that waits for a slot of a service, for each request before it. */
 private const val SERVICE_WAIT_MILLIS = 40.0
@@ -34,10 +34,10 @@
 private const val FAILING_MILLIS = 6_000.0
 
 /** Cost of an upstream whose announcements have stopped, in milliseconds for each second of silence beyond two. */
-private const val SILENT_SECOND_MILLIS = 300.0
+private const val OVERDUE_ANNOUNCEMENT_MILLIS_PER_SECOND = 300.0
 
 /** Silence that is usual between announcements, in milliseconds. */
-private const val USUAL_SILENCE_MILLIS = 2_200L
+private const val NORMAL_ANNOUNCEMENT_GAP_MILLIS = 2_200L
 
 private const val MILLIS_PER_SECOND = 1_000.0
 
@@ -55,48 +55,50 @@
     val load: Int,
     val slots: Int,
     val engine: Boolean,
-    val heldParts: Set<String> = emptySet(),
-    val failureShare: Double = 0.0,
-    val silentMillis: Long = 0,
+    val cachedParts: Set<String> = emptySet(),
+    val failureRatio: Double = 0.0,
+    val sinceAnnouncementMillis: Long = 0,
 )
 
 /** Returns the cheapest of [candidates] for [demand], or null when there is none. */
-public fun place(
+public fun selectCandidate(
     candidates: List<Candidate>,
     demand: PromptDemand,
 ): Candidate? {
     if (candidates.size <= 1) return candidates.firstOrNull()
-    val home = demand.subject?.let { subject -> homeOf(subject, candidates) }
-    return candidates.minByOrNull { it.costMillis(demand, isHome = it.id == home) }
+    val preferred = demand.sharedPrefixId?.let { sharedPrefixId -> preferredEngine(sharedPrefixId, candidates) }
+    return candidates.minByOrNull { it.costMillis(demand, isPreferred = it.id == preferred) }
 }
 
 /** Returns the engine that all hosts take first for [subject], whatever else they know. */
-private fun homeOf(
-    subject: String,
+private fun preferredEngine(
+    sharedPrefixId: String,
     candidates: List<Candidate>,
 ): UpstreamId? = candidates
     .filter { it.engine }
-    .maxByOrNull { Hashing.komihash5_0().hashCharsToLong(subject + '/' + it.id.value) }
+    .maxByOrNull { Hashing.komihash5_0().hashCharsToLong(sharedPrefixId + '/' + it.id.value) }
     ?.id
 
 private fun Candidate.costMillis(
     demand: PromptDemand,
-    isHome: Boolean,
+    isPreferred: Boolean,
 ): Double {
     val zoneMillis = if (sameZone) 0.0 else OTHER_ZONE_MILLIS
-    val failingMillis = failureShare * FAILING_MILLIS
-    val silenceMillis = maxOf(0, silentMillis - USUAL_SILENCE_MILLIS) / MILLIS_PER_SECOND * SILENT_SECOND_MILLIS
+    val failingMillis = failureRatio * FAILING_MILLIS
+    val overdueMillis =
+        maxOf(0, sinceAnnouncementMillis - NORMAL_ANNOUNCEMENT_GAP_MILLIS) / MILLIS_PER_SECOND *
+            OVERDUE_ANNOUNCEMENT_MILLIS_PER_SECOND
     val waitMillis = if (engine) engineWaitMillis() else serviceWaitMillis()
-    val unheldTokens = if (isHome) 0 else demand.sharedParts.filter { it.id !in heldParts }.sumOf { it.tokens }
-    return zoneMillis + failingMillis + silenceMillis + waitMillis + unheldTokens * READ_TOKEN_MILLIS
+    val uncachedTokens = if (isPreferred) 0 else demand.sharedParts.filter { it.id !in cachedParts }.sumOf { it.tokens }
+    return zoneMillis + failingMillis + overdueMillis + waitMillis + uncachedTokens * PREFILL_TOKEN_MILLIS
 }
 
 private fun Candidate.engineWaitMillis(): Double {
-    val share = load.toDouble() / maxOf(1, slots)
-    return share * FULL_ENGINE_MILLIS + maxOf(0.0, share - CROWDED_SHARE) * CROWDED_MILLIS
+    val utilization = load.toDouble() / maxOf(1, slots)
+    return utilization * FULL_ENGINE_MILLIS + maxOf(0.0, utilization - CONTENTION_RATIO) * CONTENTION_MILLIS
 }
 
 private fun Candidate.serviceWaitMillis(): Double {
-    val share = load.toDouble() / maxOf(1, slots)
-    return (share + maxOf(0.0, share - CROWDED_SHARE) * slots) * SERVICE_WAIT_MILLIS
+    val utilization = load.toDouble() / maxOf(1, slots)
+    return (utilization + maxOf(0.0, utilization - CONTENTION_RATIO) * slots) * SERVICE_WAIT_MILLIS
 }
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/PromptMemory.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/PromptCacheEstimate.kt
@@ -5,12 +5,12 @@
 package io.carawaytrack.gateway
 
 /** Time after its last use for which a part counts as held, in milliseconds: about the platform's window of reuse. */
-private const val HELD_MILLIS = 10_000L
+private const val RETENTION_MILLIS = 10_000L
 
 /** Parts remembered for one upstream; the longest unused gives way. */
 private const val MAX_PARTS = 512
 
-internal class PromptMemory(
+internal class PromptCacheEstimate(
     private val nowMillis: () -> Long,
 ) {
     private val usedAtMillis =
@@ -19,7 +19,7 @@
         }
 
     /** Notes that the shared parts of [demand] are read for [model]. */
-    fun noteRead(
+    fun recordRead(
         demand: PromptDemand,
         model: String,
     ) {
@@ -28,11 +28,11 @@
     }
 
     /** Returns which shared parts of [demand] are held for [model]. */
-    fun heldOf(
+    fun cachedPartsOf(
         demand: PromptDemand,
         model: String,
     ): Set<String> {
-        val oldestMillis = nowMillis() - HELD_MILLIS
+        val oldestMillis = nowMillis() - RETENTION_MILLIS
         return demand.sharedParts
             .filter { (usedAtMillis[it.id + '/' + model] ?: Long.MIN_VALUE) > oldestMillis }
             .mapTo(HashSet()) { it.id }
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/PromptParts.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/PromptParts.kt
@@ -17,27 +17,27 @@
  */
 public data class PromptDemand(
     val promptTokens: Int = 0,
-    val answerTokens: Int = 0,
+    val outputTokens: Int = 0,
     val parts: List<PromptPart> = emptyList(),
 ) {
     /** The parts that other requests may share. */
     val sharedParts: List<PromptPart> get() = if (parts.size > 1) parts.subList(0, parts.size - 1) else emptyList()
 
     /** The longest chain of shared parts, by which requests about one thing are recognised; null without any. */
-    val subject: String? get() = sharedParts.lastOrNull()?.id
+    val sharedPrefixId: String? get() = sharedParts.lastOrNull()?.id
 }
 
 /** Reads the values of the headers for token counts and prompt parts; what can't be read counts as absent. */
-internal fun promptDemand(
+internal fun parsePromptDemand(
     usage: String?,
     parts: String?,
 ): PromptDemand {
     val counts = usage?.split(',')?.map { it.trim().toIntOrNull() ?: 0 }.orEmpty()
-    val read = parts?.split(',')?.mapNotNull(::promptPart).orEmpty()
-    return PromptDemand(counts.getOrElse(0) { 0 }, counts.getOrElse(1) { 0 }, read)
+    val parsedParts = parts?.split(',')?.mapNotNull(::parsePromptPart).orEmpty()
+    return PromptDemand(counts.getOrElse(0) { 0 }, counts.getOrElse(1) { 0 }, parsedParts)
 }
 
-private fun promptPart(entry: String): PromptPart? {
+private fun parsePromptPart(entry: String): PromptPart? {
     val id = entry.substringBefore(':').trim()
     val tokens = entry.substringAfter(':', "").trim().toIntOrNull() ?: return null
     return PromptPart(id, tokens)
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/RequestLog.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/RequestLog.kt
@@ -11,10 +11,10 @@
 private val logger = KotlinLogging.logger {}
 
 /** One in this many ordinary requests is written of. */
-private const val SAMPLED_ONE_IN = 16
+private const val SAMPLE_INTERVAL = 16
 
 /** Lines on requests that one second may bring: at a few hundred bytes each a small part of a thin host's link. */
-private const val LINES_PER_SECOND = 150
+private const val MAX_LINES_PER_SECOND = 150
 
 private const val MILLIS_PER_SECOND = 1_000L
 
@@ -42,23 +42,23 @@
                 "upstream" to target?.upstream?.id?.value,
                 "modelIndex" to exchange.modelIndex,
                 "configuration" to configuration,
-                "heardMillisAgo" to target?.let { nowMillis() - it.heardAtMillis },
+                "heardMillisAgo" to target?.let { nowMillis() - it.announcedAtMillis },
                 "load" to target?.estimatedLoad(),
             )
         logEvent(event, common + detail)
     }
 
     /** Returns whether the ordinary request [id] is written of. */
-    fun isSampled(id: String): Boolean = (unitHash(id) * SAMPLED_ONE_IN).toInt() == 0
+    fun isSampled(id: String): Boolean = (unitHash(id) * SAMPLE_INTERVAL).toInt() == 0
 
     private fun mayWrite(): Boolean {
         val now = nowMillis() / MILLIS_PER_SECOND
         if (now != second) {
-            if (lines > LINES_PER_SECOND) logEvent("lines_dropped", mapOf("lines" to lines - LINES_PER_SECOND))
+            if (lines > MAX_LINES_PER_SECOND) logEvent("lines_dropped", mapOf("lines" to lines - MAX_LINES_PER_SECOND))
             second = now
             lines = 0
         }
-        return ++lines <= LINES_PER_SECOND
+        return ++lines <= MAX_LINES_PER_SECOND
     }
 }
 
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/RepeatBudgets.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/RetryBudgets.kt
@@ -9,43 +9,45 @@
 import io.carawaytrack.model.PoolName
 
 /** Part of the fleet's budget for repeats after failures. */
-private const val REPEATED_PART = 0.3
+private const val FAILURE_RETRY_RATIO = 0.3
 
 /** Part of it for answers by a larger model; the rest covers the hosts' uneven shares of the requests. */
-private const val ESCALATED_PART = 0.6
+private const val ESCALATION_RATIO = 0.6
 
-internal class RepeatBudgets(
+internal class RetryBudgets(
     private val settings: RetrySettings,
     private val hosts: () -> Int,
     private val nowMillis: () -> Long,
 ) {
     private class Budgets(
-        val repeats: RetryBudget,
+        val retries: RetryBudget,
         val escalations: RetryBudget,
     )
 
     private val budgets = HashMap<PoolName, Budgets>()
 
     /** Counts a request to [pool], when it arrives. */
-    fun requested(pool: PoolName) = of(pool).let {
-        it.repeats.requested()
+    fun recordRequest(pool: PoolName) = budgetsOf(pool).let {
+        it.retries.requested()
         it.escalations.requested()
     }
 
     /** Takes one repeat after a failure; returns false when there is none. */
-    fun tryRepeat(pool: PoolName): Boolean = of(pool).repeats.tryRetry()
+    fun tryRetry(pool: PoolName): Boolean = budgetsOf(pool).retries.tryRetry()
 
     /** Takes one further answer by a larger model; returns false when there is none. */
-    fun tryEscalation(pool: PoolName): Boolean = of(pool).escalations.tryRetry()
+    fun tryEscalation(pool: PoolName): Boolean = budgetsOf(pool).escalations.tryRetry()
 
-    private fun of(pool: PoolName) = budgets.getOrPut(pool) { Budgets(budget(REPEATED_PART), budget(ESCALATED_PART)) }
+    private fun budgetsOf(pool: PoolName) = budgets.getOrPut(pool) {
+        Budgets(budget(FAILURE_RETRY_RATIO), budget(ESCALATION_RATIO))
+    }
 
-    private fun budget(part: Double): RetryBudget {
-        val own =
+    private fun budget(ratio: Double): RetryBudget {
+        val hostSettings =
             settings.copy(
-                retryRatio = settings.retryRatio * part,
-                leastRetries = maxOf(1, (settings.leastRetries * part / hosts()).toInt()),
+                retryRatio = settings.retryRatio * ratio,
+                leastRetries = maxOf(1, (settings.leastRetries * ratio / hosts()).toInt()),
             )
-        return RetryBudget(own, nowMillis)
+        return RetryBudget(hostSettings, nowMillis)
     }
 }
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/RolloutWatch.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/RolloutTracker.kt
@@ -17,68 +17,72 @@
     val version: String,
     val elapsedMillis: Long,
 ) {
-    val onNew: Boolean get() = version == rollout.target
+    val onNewVersion: Boolean get() = version == rollout.target
 }
 
-internal class RolloutWatch(
+internal class RolloutTracker(
     private val bounds: RolloutBounds,
     private val nowMillis: () -> Long,
 ) {
-    private class Watched(
+    private class TrackedRollout(
         val sinceMillis: Long,
     ) {
         val old = HashMap<String, RouteTally>()
         val new = HashMap<String, RouteTally>()
 
-        fun of(onNew: Boolean) = if (onNew) new else old
+        fun talliesOf(onNewVersion: Boolean) = if (onNewVersion) new else old
 
         /** Returns whether [attempt] has taken longer than an ordinary answer, so that it tells something. */
         fun isLate(attempt: OpenAttempt) = attempt.elapsedMillis > (old[attempt.route]?.meanMillis ?: 0.0)
     }
 
-    private val watched = HashMap<Long, Watched>()
+    private val tracked = HashMap<Long, TrackedRollout>()
 
     /** Forgets roll-outs that are over and begins to watch new ones. */
     fun update(rollouts: List<FleetRollout>) {
         val running = rollouts.filter { it.phase == FleetRolloutPhase.Running }.map { it.order }
-        watched.keys.retainAll(running.toSet())
-        running.forEach { watched.getOrPut(it) { Watched(nowMillis()) } }
+        tracked.keys.retainAll(running.toSet())
+        running.forEach { tracked.getOrPut(it) { TrackedRollout(nowMillis()) } }
     }
 
     /** Returns whether [session] goes to the new version; one that does stays there. */
-    fun takesNew(
+    fun usesNewVersion(
         rollout: FleetRollout,
         session: String,
     ): Boolean {
-        val sinceMillis = watched[rollout.order]?.sinceMillis ?: return false
+        val sinceMillis = tracked[rollout.order]?.sinceMillis ?: return false
         return unitHash(session) < rollout.shareAt(nowMillis() - sinceMillis, bounds)
     }
 
     /** Counts an answer or a failure of [version]. */
-    fun observed(
+    fun recordOutcome(
         rollout: FleetRollout,
         route: String,
         version: String,
         good: Boolean,
         tookMillis: Long,
     ) {
-        val tallies = watched[rollout.order]?.of(onNew = version == rollout.target) ?: return
-        val seen = if (good) RouteTally(route, good = 1, timeMillis = tookMillis) else RouteTally(route, failed = 1)
-        tallies.merge(route, seen, RouteTally::plus)
+        val tallies = tracked[rollout.order]?.talliesOf(onNewVersion = version == rollout.target) ?: return
+        val outcome = if (good) RouteTally(route, good = 1, timeMillis = tookMillis) else RouteTally(route, failed = 1)
+        tallies.merge(route, outcome, RouteTally::plus)
     }
 
     /** Counts an attempt that was left without an answer; one that was left early says nothing. */
-    fun left(attempt: OpenAttempt) {
-        val seen = watched[attempt.rollout.order]?.takeIf { it.isLate(attempt) } ?: return
-        seen.of(attempt.onNew).merge(attempt.route, unfinished(attempt), RouteTally::plus)
+    fun recordAbandoned(attempt: OpenAttempt) {
+        val rollout = tracked[attempt.rollout.order]?.takeIf { it.isLate(attempt) } ?: return
+        rollout.talliesOf(attempt.onNewVersion).merge(attempt.route, unfinished(attempt), RouteTally::plus)
     }
 
     /** Returns what has been seen of each running roll-out, with those of [open] that take longer than usual. */
-    fun tallies(open: List<OpenAttempt>): List<RolloutTally> = watched.map { (order, seen) ->
-        val late = open.filter { it.rollout.order == order && seen.isLate(it) }
-        val (onNew, onOld) = late.partition { it.onNew }
+    fun tallies(open: List<OpenAttempt>): List<RolloutTally> = tracked.map { (order, rollout) ->
+        val late = open.filter { it.rollout.order == order && rollout.isLate(it) }
+        val (onNewVersion, onOldVersion) = late.partition { it.onNewVersion }
         RolloutTally(order) +
-            RolloutTally(order, seen.old.values + onOld.map(::unfinished), seen.new.values + onNew.map(::unfinished))
+            RolloutTally(
+                order,
+                rollout.old.values + onOldVersion.map(::unfinished),
+                rollout.new.values + onNewVersion.map(::unfinished),
+            )
     }
 }
 
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamConnections.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamConnections.kt
@@ -30,16 +30,16 @@
 private const val CONNECT_TIMEOUT_MILLIS = 350
 
 /** Time for which an idle connection is kept where the upstream states none, in milliseconds. */
-private const val DEFAULT_KEPT_MILLIS = 4_000L
+private const val DEFAULT_KEEP_ALIVE_MILLIS = 4_000L
 
 /** Time before the stated end of an idle connection at which it is no longer used, in milliseconds. */
-private const val KEPT_MARGIN_MILLIS = 700L
+private const val KEEP_ALIVE_MARGIN_MILLIS = 700L
 
 /** Idle time up to which a connection may carry a request that can't be repeated, in milliseconds. */
-private const val FRESH_MILLIS = 250L
+private const val NON_RETRYABLE_MAX_IDLE_MILLIS = 250L
 
 /** Idle connections kept for one upstream; the hosts share its limit on connections. */
-private const val MAX_IDLE = 12
+private const val MAX_IDLE_CONNECTIONS = 12
 
 private const val MAX_LINE_BYTES = 8_192
 private const val MAX_HEADER_BYTES = 65_536
@@ -47,7 +47,7 @@
 private const val MILLIS_PER_SECOND = 1_000L
 private const val KEEP_ALIVE = "Keep-Alive"
 
-private val decoding =
+private val decoderConfig =
     HttpDecoderConfig()
         .setMaxInitialLineLength(MAX_LINE_BYTES)
         .setMaxHeaderSize(MAX_HEADER_BYTES)
@@ -90,11 +90,11 @@
     val listener: AttemptListener,
 ) {
     private var connection: Channel? = null
-    var over = false
+    var ended = false
         private set
 
-    fun carriedBy(carrier: Channel) {
-        connection = carrier
+    fun attachTo(channel: Channel) {
+        connection = channel
     }
 
     fun pauseReading(paused: Boolean) {
@@ -102,14 +102,14 @@
     }
 
     fun end() {
-        over = true
+        ended = true
         connection = null
     }
 
     /** Lets go of the attempt; its listener hears nothing more. */
     fun cancel() {
-        if (over) return
-        over = true
+        if (ended) return
+        ended = true
         connection?.close()
         connection = null
     }
@@ -125,10 +125,10 @@
     fun send(
         address: HostPort,
         attempt: Attempt,
-        unrepeatable: Boolean,
+        nonRetryable: Boolean,
     ) {
-        val kept = takeIdle(address, if (unrepeatable) FRESH_MILLIS else Long.MAX_VALUE)
-        if (kept != null) kept.carry(attempt) else connect(address, attempt)
+        val pooled = takeIdle(address, if (nonRetryable) NON_RETRYABLE_MAX_IDLE_MILLIS else Long.MAX_VALUE)
+        if (pooled != null) pooled.start(attempt) else connect(address, attempt)
     }
 
     /** Closes idle connections whose time is over. */
@@ -141,19 +141,19 @@
     }
 
     /** Closes the idle connections to [address], whose holder has gone. */
-    fun forget(address: HostPort) {
+    fun closeIdle(address: HostPort) {
         idle.remove(address)?.forEach { it.channel.close() }
     }
 
     private fun takeIdle(
         address: HostPort,
-        longestIdleMillis: Long,
+        maxIdleMillis: Long,
     ): UpstreamConnection? {
         val connections = idle[address] ?: return null
         while (true) {
             val newest = connections.removeLastOrNull() ?: return null
             val now = nowMillis()
-            if (newest.isUsable(now) && now - newest.idleSinceMillis <= longestIdleMillis) return newest
+            if (newest.isUsable(now) && now - newest.idleSinceMillis <= maxIdleMillis) return newest
             newest.channel.close()
         }
     }
@@ -172,16 +172,16 @@
             .connect(address.host, address.port)
             .addListener { opening ->
                 if (opening.isSuccess) {
-                    connection.carry(attempt)
+                    connection.start(attempt)
                 } else {
-                    neverSent(attempt)
+                    connectFailed(attempt)
                 }
             }
     }
 
-    private fun neverSent(attempt: Attempt) {
+    private fun connectFailed(attempt: Attempt) {
         attempt.request.release()
-        if (attempt.over) return
+        if (attempt.ended) return
         attempt.end()
         attempt.listener.failed(AttemptEnd.NotConnected)
     }
@@ -190,15 +190,15 @@
         override fun initChannel(channel: SocketChannel) {
             connection.channel = channel
             channel.pipeline().addLast(
-                HttpClientCodec(decoding, false, false),
+                HttpClientCodec(decoderConfig, false, false),
                 connection,
             )
         }
     }
 
-    private fun keep(connection: UpstreamConnection) {
+    private fun addIdle(connection: UpstreamConnection) {
         val connections = idle.getOrPut(connection.address) { ArrayDeque() }
-        if (connections.size >= MAX_IDLE) connection.channel.close() else connections.addLast(connection)
+        if (connections.size >= MAX_IDLE_CONNECTIONS) connection.channel.close() else connections.addLast(connection)
     }
 
     internal inner class UpstreamConnection(
@@ -207,29 +207,29 @@
         lateinit var channel: Channel
         var idleSinceMillis = 0L
             private set
-        private var keptMillis = DEFAULT_KEPT_MILLIS
+        private var keepAliveMillis = DEFAULT_KEEP_ALIVE_MILLIS
         private var attempt: Attempt? = null
         private var response: HttpResponse? = null
-        private var foreign = false
+        private var mismatched = false
         private var reused = false
-        private var heard = false
+        private var received = false
         private var reusable = true
         private var broken = false
         private var written = false
 
-        fun isUsable(now: Long) = channel.isActive && now - idleSinceMillis < keptMillis - KEPT_MARGIN_MILLIS
+        fun isUsable(now: Long) = channel.isActive && now - idleSinceMillis < keepAliveMillis - KEEP_ALIVE_MARGIN_MILLIS
 
-        fun carry(next: Attempt) {
-            if (next.over) {
+        fun start(next: Attempt) {
+            if (next.ended) {
                 next.request.release()
                 if (reused) becomeIdle() else channel.close()
                 return
             }
             attempt = next
             response = null
-            heard = false
+            received = false
             written = false
-            next.carriedBy(channel)
+            next.attachTo(channel)
             channel.config().isAutoRead = true
             channel.writeAndFlush(next.request).addListener { written = it.isSuccess }
         }
@@ -238,10 +238,10 @@
             context: ChannelHandlerContext,
             message: Any,
         ) {
-            heard = true
+            received = true
             val current = attempt
             when {
-                current == null || current.over -> {
+                current == null || current.ended -> {
                     // An extra answer, or the rest of one that nobody waits for: the connection can't be trusted.
                     ReferenceCountUtil.release(message)
                     channel.close()
@@ -267,16 +267,21 @@
             current: Attempt,
             head: HttpResponse,
         ) {
-            val named = head.headers()[current.attemptIdHeader]
+            val responseAttemptId = head.headers()[current.attemptIdHeader]
             val informational = head.status().codeClass() == HttpStatusClass.INFORMATIONAL
-            foreign = informational || (named != null && named != current.request.headers()[current.attemptIdHeader])
-            if (foreign) {
+            mismatched =
+                informational ||
+                (
+                    responseAttemptId != null &&
+                        responseAttemptId != current.request.headers()[current.attemptIdHeader]
+                )
+            if (mismatched) {
                 if (!informational) reusable = false
                 return
             }
             response = head
             reusable = reusable && HttpUtil.isKeepAlive(head) && isFramed(head)
-            head.headers()[KEEP_ALIVE]?.let { keptMillis = keptMillis(it) }
+            head.headers()[KEEP_ALIVE]?.let { keepAliveMillis = keepAliveMillis(it) }
             current.listener.head(head)
         }
 
@@ -287,20 +292,20 @@
             current: Attempt,
             content: HttpContent,
         ) {
-            if (foreign) {
+            if (mismatched) {
                 content.release()
                 return
             }
-            if (current.over) {
+            if (current.ended) {
                 content.release()
                 channel.close()
                 return
             }
             if (content.content().isReadable) current.listener.content(content.content()) else content.release()
-            if (content is LastHttpContent && !current.over) answered(current)
+            if (content is LastHttpContent && !current.ended) responseComplete(current)
         }
 
-        private fun answered(current: Attempt) {
+        private fun responseComplete(current: Attempt) {
             // An answer without a length that ends with a reset connection is not complete.
             if (broken) return
             attempt = null
@@ -312,20 +317,20 @@
         private fun becomeIdle() {
             reused = true
             idleSinceMillis = nowMillis()
-            keep(this)
+            addIdle(this)
         }
 
         override fun channelReadComplete(context: ChannelHandlerContext) {
-            attempt?.takeIf { !it.over }?.listener?.flush()
+            attempt?.takeIf { !it.ended }?.listener?.flush()
         }
 
         override fun channelInactive(context: ChannelHandlerContext) {
             idle[address]?.remove(this)
             val current = attempt ?: return
             attempt = null
-            if (current.over) return
+            if (current.ended) return
             current.end()
-            current.listener.failed(if (reused && !heard) AttemptEnd.ClosedUnanswered else AttemptEnd.Broken)
+            current.listener.failed(if (reused && !received) AttemptEnd.ClosedUnanswered else AttemptEnd.Broken)
         }
 
         @Deprecated("Netty's own signature")
@@ -338,9 +343,9 @@
             context.close()
         }
 
-        private fun keptMillis(header: String): Long {
-            val stated = header.substringAfter("timeout=", "").takeWhile(Char::isDigit).toLongOrNull()
-            return stated?.let { it * MILLIS_PER_SECOND } ?: DEFAULT_KEPT_MILLIS
+        private fun keepAliveMillis(header: String): Long {
+            val advertised = header.substringAfter("timeout=", "").takeWhile(Char::isDigit).toLongOrNull()
+            return advertised?.let { it * MILLIS_PER_SECOND } ?: DEFAULT_KEEP_ALIVE_MILLIS
         }
     }
 }
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamDirectory.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamDirectory.kt
@@ -15,32 +15,32 @@
 import io.carawaytrack.model.ZoneName
 
 /** Part of the cold rate that the hosts use together, so that their uneven moments stay within what is borne. */
-private const val COLD_RATE_PART = 0.8
+private const val COLD_RATE_RATIO = 0.8
 
 /** Requests beyond its slots that a service may have before it counts as taken, as a part of the slots. */
-private const val QUEUED_PART = 0.5
+private const val SERVICE_QUEUE_RATIO = 0.5
 
 /** Requests beyond its slots that an engine, which orders them by urgency, may have, as a part of the slots. */
-private const val ENGINE_QUEUED_PART = 1.0
+private const val ENGINE_QUEUE_RATIO = 1.0
 
 /** Describes what a request needs of an upstream. */
-internal class UpstreamNeed(
+internal class SelectionCriteria(
     val pool: CatalogPool,
     val session: String,
     val demand: PromptDemand,
     val model: String,
-    val avoided: Set<UpstreamId>,
-    val mayReturn: Boolean,
+    val excluded: Set<UpstreamId>,
+    val allowExcluded: Boolean,
 )
 
 internal class UpstreamDirectory(
     private val zone: ZoneName,
-    private val rollouts: RolloutWatch,
+    private val rollouts: RolloutTracker,
     private val connections: UpstreamConnections,
     private val nowMillis: () -> Long,
 ) {
     private val states = LinkedHashMap<UpstreamId, UpstreamState>()
-    private val prompts = HashMap<UpstreamId, PromptMemory>()
+    private val promptCaches = HashMap<UpstreamId, PromptCacheEstimate>()
     private var view = FleetView()
 
     /** Hosts among which an upstream's limits are divided. */
@@ -51,30 +51,34 @@
         next: FleetView,
         coldStartMillis: (PoolName) -> Long,
     ) {
-        val returned = view.zonesOut - next.zonesOut
+        val returnedZones = view.zonesOut - next.zonesOut
         view = next
         rollouts.update(next.rollouts)
         // What comes back may have become cold meanwhile without having said so yet.
         states.values
-            .filter { it.upstream.zone in returned }
-            .forEach { it.doubtWarmth(coldStartMillis(it.upstream.pool)) }
+            .filter { it.upstream.zone in returnedZones }
+            .forEach { it.assumeCold(coldStartMillis(it.upstream.pool)) }
     }
 
     fun rolloutOf(pool: PoolName): FleetRollout? = view.rolloutOf(pool)
 
-    fun changed(known: KnownUpstream) {
+    fun update(known: KnownUpstream) {
         val upstream = known.upstream
         val state = states[upstream.id]
-        if (state != null && state.upstream.startedAtMillis == upstream.startedAtMillis) return state.announced(known)
+        if (state != null &&
+            state.upstream.startedAtMillis == upstream.startedAtMillis
+        ) {
+            return state.applyAnnouncement(known)
+        }
         states.values.filter { it.upstream.address == upstream.address || it.upstream.id == upstream.id }.forEach(
             ::drop,
         )
         states[upstream.id] = UpstreamState(known, nowMillis)
-        prompts[upstream.id] = PromptMemory(nowMillis)
+        promptCaches[upstream.id] = PromptCacheEstimate(nowMillis)
     }
 
     /** Returns whether the departure was of an upstream that was known here. */
-    fun gone(departure: Departure): Boolean {
+    fun remove(departure: Departure): Boolean {
         val state = states[departure.id] ?: return false
         val startedAtMillis = departure.startedAtMillis
         if (startedAtMillis != null && state.upstream.startedAtMillis > startedAtMillis) return false
@@ -83,15 +87,15 @@
     }
 
     private fun drop(state: UpstreamState) {
-        state.gone = true
+        state.departed = true
         states -= state.upstream.id
-        prompts -= state.upstream.id
-        connections.forget(state.upstream.address)
+        promptCaches -= state.upstream.id
+        connections.closeIdle(state.upstream.address)
     }
 
     /** Takes in when each upstream was heard last. */
-    fun refresh(heard: Collection<KnownUpstream>) = heard.forEach { known ->
-        states[known.upstream.id]?.takeIf { it.heardAtMillis < known.heardAtMillis }?.announced(known)
+    fun refresh(announcements: Collection<KnownUpstream>) = announcements.forEach { known ->
+        states[known.upstream.id]?.takeIf { it.announcedAtMillis < known.heardAtMillis }?.applyAnnouncement(known)
     }
 
     fun serves(
@@ -102,83 +106,83 @@
     }
 
     /** Returns whether no upstream may take the request, now or as soon as it has room. */
-    fun hasNobodyFor(
+    fun hasNoUpstream(
         pool: PoolName,
         session: String,
-    ): Boolean = allowed(pool, session).none { !it.isPaused }
+    ): Boolean = eligible(pool, session).none { !it.isPaused }
 
     /** Returns the upstream that is to take the request now, or null while none has room. */
-    fun choose(need: UpstreamNeed): UpstreamState? {
-        val free = allowed(need.pool.name, need.session).filter { isFree(it, need.pool) }
-        val untried = free.filter { it.upstream.id !in need.avoided }
+    fun choose(criteria: SelectionCriteria): UpstreamState? {
+        val available = eligible(criteria.pool.name, criteria.session).filter { hasCapacity(it, criteria.pool) }
+        val preferred = available.filter { it.upstream.id !in criteria.excluded }
         val usable =
-            untried
+            preferred
                 .filter {
-                    !it.isSuspect
-                }.ifEmpty { untried }
-                .ifEmpty { if (need.mayReturn) free else untried }
-        val chosen = cheapest(usable, need) ?: return null
-        if (!chosen.isCold || takeColdStart(chosen, need.pool)) return noteRead(chosen, need)
-        return cheapest(usable.filter { !it.isCold }, need)?.let { noteRead(it, need) }
+                    !it.isSuspectedUnhealthy
+                }.ifEmpty { preferred }
+                .ifEmpty { if (criteria.allowExcluded) available else preferred }
+        val chosen = cheapest(usable, criteria) ?: return null
+        if (!chosen.isCold || tryColdStart(chosen, criteria.pool)) return recordRead(chosen, criteria)
+        return cheapest(usable.filter { !it.isCold }, criteria)?.let { recordRead(it, criteria) }
     }
 
-    private fun takeColdStart(
+    private fun tryColdStart(
         state: UpstreamState,
         pool: CatalogPool,
     ): Boolean {
         if (pool.coldRequestsPerSecond <= 0) return true
-        return state.takeColdStart(pool.coldRequestsPerSecond * COLD_RATE_PART / hosts)
+        return state.tryColdStart(pool.coldRequestsPerSecond * COLD_RATE_RATIO / hosts)
     }
 
-    private fun noteRead(
+    private fun recordRead(
         state: UpstreamState,
-        need: UpstreamNeed,
+        criteria: SelectionCriteria,
     ): UpstreamState {
-        prompts[state.upstream.id]?.noteRead(need.demand, need.model)
+        promptCaches[state.upstream.id]?.recordRead(criteria.demand, criteria.model)
         return state
     }
 
     private fun cheapest(
         usable: List<UpstreamState>,
-        need: UpstreamNeed,
-    ): UpstreamState? = place(usable.map { candidate(it, need) }, need.demand)?.let { states[it.id] }
+        criteria: SelectionCriteria,
+    ): UpstreamState? = selectCandidate(usable.map { candidate(it, criteria) }, criteria.demand)?.let { states[it.id] }
 
     private fun candidate(
         state: UpstreamState,
-        need: UpstreamNeed,
+        criteria: SelectionCriteria,
     ) = Candidate(
         id = state.upstream.id,
         sameZone = state.upstream.zone == zone,
         load = state.estimatedLoad(),
         slots = state.upstream.slots,
-        engine = need.pool.engine != null,
-        heldParts = prompts[state.upstream.id]?.heldOf(need.demand, need.model).orEmpty(),
-        failureShare = state.failureShare,
-        silentMillis = nowMillis() - state.heardAtMillis,
+        engine = criteria.pool.engine != null,
+        cachedParts = promptCaches[state.upstream.id]?.cachedPartsOf(criteria.demand, criteria.model).orEmpty(),
+        failureRatio = state.failureRatio,
+        sinceAnnouncementMillis = nowMillis() - state.announcedAtMillis,
     )
 
-    private fun isFree(
+    private fun hasCapacity(
         state: UpstreamState,
         pool: CatalogPool,
     ): Boolean {
         if (state.isPaused || state.isFull) return false
-        val queuedPart = if (pool.engine == null) QUEUED_PART else ENGINE_QUEUED_PART
-        return state.estimatedLoad() < state.upstream.slots * (1 + queuedPart)
+        val queueRatio = if (pool.engine == null) SERVICE_QUEUE_RATIO else ENGINE_QUEUE_RATIO
+        return state.estimatedLoad() < state.upstream.slots * (1 + queueRatio)
     }
 
     /** Returns the upstreams on which a request of [session] may run at all. */
-    private fun allowed(
+    private fun eligible(
         pool: PoolName,
         session: String,
     ): List<UpstreamState> {
-        val serving = states.values.filter { it.upstream.pool == pool && isInService(it) }
-        val rollout = view.rolloutOf(pool) ?: return serving
-        val (new, old) = serving.partition { it.upstream.version == rollout.target }
+        val inService = states.values.filter { it.upstream.pool == pool && isInService(it) }
+        val rollout = view.rolloutOf(pool) ?: return inService
+        val (new, old) = inService.partition { it.upstream.version == rollout.target }
         return when (rollout.phase) {
             FleetRolloutPhase.Completed -> new.ifEmpty { old }
             FleetRolloutPhase.RolledBack -> old
             FleetRolloutPhase.Running ->
-                if (rollouts.takesNew(rollout, session) &&
+                if (rollouts.usesNewVersion(rollout, session) &&
                     new.any { !it.isPaused }
                 ) {
                     new
@@ -189,5 +193,5 @@
     }
 
     private fun isInService(state: UpstreamState) =
-        !state.gone && !state.upstream.leaving && state.upstream.zone !in view.zonesOut
+        !state.departed && !state.upstream.leaving && state.upstream.zone !in view.zonesOut
 }
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamAnswer.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamResponse.kt
@@ -24,12 +24,12 @@
 internal fun HttpResponse.isFailure(): Boolean = status().codeClass() == HttpStatusClass.SERVER_ERROR
 
 /** Returns whether the upstream has signed the answer. */
-internal fun HttpResponse.isSigned(vocabulary: HeaderNames): Boolean = headers().contains(vocabulary.signature)
+internal fun HttpResponse.isSigned(headerNames: HeaderNames): Boolean = headers().contains(headerNames.signature)
 
 /** Returns why the upstream says that it has not run the request, or null when it doesn't say so. */
-internal fun HttpResponse.refusal(vocabulary: HeaderNames): UpstreamRefusal? {
+internal fun HttpResponse.refusal(headerNames: HeaderNames): UpstreamRefusal? {
     val status = status().code()
-    val notExecuted = headers().contains(vocabulary.notExecuted)
+    val notExecuted = headers().contains(headerNames.notExecuted)
     return when {
         status == HttpResponseStatus.MISDIRECTED_REQUEST.code() -> UpstreamRefusal.AnotherUpstream
         !notExecuted -> null
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamState.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamState.kt
@@ -15,10 +15,10 @@
 internal const val SUSPECT_AFTER_MILLIS: Long = 900
 
 /** First pause after a failed connection or a run of failures, in milliseconds; it doubles up to the longest one. */
-private const val FIRST_PAUSE_MILLIS = 250L
+private const val MIN_PAUSE_MILLIS = 250L
 
 /** Longest pause, in milliseconds: about the time in which a crashed upstream returns. */
-private const val LONGEST_PAUSE_MILLIS = 4_000L
+private const val MAX_PAUSE_MILLIS = 4_000L
 
 /** Failures in a row that make a pause. */
 private const val FAILURES_TO_PAUSE = 3
@@ -50,111 +50,111 @@
 ) {
     var upstream: FleetUpstream = known.upstream
         private set
-    var heardAtMillis = known.heardAtMillis
+    var announcedAtMillis = known.heardAtMillis
         private set
     private var announcedColdUntilMillis = known.coldUntilMillis
-    private var doubtedColdUntilMillis = 0L
+    private var assumedColdUntilMillis = 0L
 
     /** Requests of this host that the upstream has and has not finished. */
     var inFlight = 0
         private set
 
     /** Share of recent requests that failed, 0 to 1. */
-    var failureShare = 0.0
+    var failureRatio = 0.0
         private set
 
     /** Whether it has signed off or called itself another; it gets nothing more. */
-    var gone = false
+    var departed = false
 
     private var lastByteAtMillis = nowMillis()
-    private var owedSinceMillis: Long? = null
+    private var unansweredSinceMillis: Long? = null
     private var failures = 0
-    private var pauseMillis = FIRST_PAUSE_MILLIS
+    private var pauseMillis = MIN_PAUSE_MILLIS
     private var pausedUntilMillis = 0L
     private var fullUntilMillis = 0L
     private var load: ReportedLoad? = null
-    private var loadAtMillis = 0L
-    private var ownAtLoad = 0
-    private var coldTokens = 1.0
-    private var coldTokensAtMillis = nowMillis()
+    private var loadReportedAtMillis = 0L
+    private var inFlightAtReport = 0
+    private var coldStartTokens = 1.0
+    private var coldStartTokensAtMillis = nowMillis()
 
-    val isCold: Boolean get() = nowMillis() < maxOf(announcedColdUntilMillis, doubtedColdUntilMillis)
+    val isCold: Boolean get() = nowMillis() < maxOf(announcedColdUntilMillis, assumedColdUntilMillis)
     val isPaused: Boolean get() = nowMillis() < pausedUntilMillis
     val isFull: Boolean get() = nowMillis() < fullUntilMillis
 
     /** Time for which it has owed a byte, in milliseconds; zero when it owes none. */
-    val owedMillis: Long get() = owedSinceMillis?.let { nowMillis() - maxOf(it, lastByteAtMillis) } ?: 0
+    val unansweredMillis: Long get() = unansweredSinceMillis?.let { nowMillis() - maxOf(it, lastByteAtMillis) } ?: 0
 
-    val isSuspect: Boolean get() = owedMillis > SUSPECT_AFTER_MILLIS
+    val isSuspectedUnhealthy: Boolean get() = unansweredMillis > SUSPECT_AFTER_MILLIS
 
     /** Requests that it has, this host's and the others', as far as known. */
     fun estimatedLoad(): Int {
-        val reported = load?.takeIf { nowMillis() - loadAtMillis < LOAD_VALID_MILLIS } ?: return inFlight
-        return maxOf(inFlight, reported.running + reported.waiting + inFlight - ownAtLoad)
+        val reported = load?.takeIf { nowMillis() - loadReportedAtMillis < LOAD_VALID_MILLIS } ?: return inFlight
+        return maxOf(inFlight, reported.running + reported.waiting + inFlight - inFlightAtReport)
     }
 
-    fun announced(known: KnownUpstream) {
+    fun applyAnnouncement(known: KnownUpstream) {
         upstream = known.upstream
-        heardAtMillis = known.heardAtMillis
+        announcedAtMillis = known.heardAtMillis
         announcedColdUntilMillis = known.coldUntilMillis
-        doubtedColdUntilMillis = 0
+        assumedColdUntilMillis = 0
     }
 
     /** Treats the upstream as cold until it says otherwise, at most for [durationMillis]. */
-    fun doubtWarmth(durationMillis: Long) {
-        doubtedColdUntilMillis = maxOf(doubtedColdUntilMillis, nowMillis() + durationMillis)
+    fun assumeCold(durationMillis: Long) {
+        assumedColdUntilMillis = maxOf(assumedColdUntilMillis, nowMillis() + durationMillis)
     }
 
     /** Takes one of this host's starts on a cold upstream, of which there are [perSecond]; false when none is left. */
-    fun takeColdStart(perSecond: Double): Boolean {
+    fun tryColdStart(perSecond: Double): Boolean {
         val now = nowMillis()
-        coldTokens = minOf(1.0, coldTokens + (now - coldTokensAtMillis) * perSecond / MILLIS_PER_SECOND)
-        coldTokensAtMillis = now
-        if (coldTokens < 1.0) return false
-        coldTokens -= 1.0
+        coldStartTokens = minOf(1.0, coldStartTokens + (now - coldStartTokensAtMillis) * perSecond / MILLIS_PER_SECOND)
+        coldStartTokensAtMillis = now
+        if (coldStartTokens < 1.0) return false
+        coldStartTokens -= 1.0
         return true
     }
 
-    fun started() {
-        if (inFlight == 0) owedSinceMillis = nowMillis()
+    fun requestStarted() {
+        if (inFlight == 0) unansweredSinceMillis = nowMillis()
         inFlight++
     }
 
-    fun ended() {
+    fun requestEnded() {
         inFlight--
-        if (inFlight == 0) owedSinceMillis = null
+        if (inFlight == 0) unansweredSinceMillis = null
     }
 
     /** Takes in that something arrived from it. */
-    fun answered() {
+    fun bytesReceived() {
         lastByteAtMillis = nowMillis()
     }
 
-    fun reported(reported: ReportedLoad) {
-        load = reported
-        loadAtMillis = nowMillis()
-        ownAtLoad = inFlight
+    fun applyLoadReport(report: ReportedLoad) {
+        load = report
+        loadReportedAtMillis = nowMillis()
+        inFlightAtReport = inFlight
     }
 
-    fun succeeded() {
+    fun recordSuccess() {
         failures = 0
-        pauseMillis = FIRST_PAUSE_MILLIS
-        failureShare *= 1 - FAILURE_WEIGHT
+        pauseMillis = MIN_PAUSE_MILLIS
+        failureRatio *= 1 - FAILURE_WEIGHT
     }
 
-    fun failed() {
+    fun recordFailure() {
         failures++
-        failureShare += (1 - failureShare) * FAILURE_WEIGHT
+        failureRatio += (1 - failureRatio) * FAILURE_WEIGHT
         if (failures >= FAILURES_TO_PAUSE) pause()
     }
 
     /** Gives it nothing for a while that grows with each call until a request succeeds. */
     fun pause() {
         pausedUntilMillis = nowMillis() + pauseMillis
-        pauseMillis = minOf(LONGEST_PAUSE_MILLIS, pauseMillis * 2)
+        pauseMillis = minOf(MAX_PAUSE_MILLIS, pauseMillis * 2)
     }
 
-    fun full() {
+    fun markFull() {
         fullUntilMillis = nowMillis() + FULL_PAUSE_MILLIS
     }
 
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/WaitingLine.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/WaitQueue.kt
@@ -6,7 +6,7 @@
 package io.carawaytrack.gateway
 
 /** Requests that may wait on one host; beyond it the least urgent ones are refused. */
-private const val MAX_WAITING = 512
+private const val MAX_QUEUED = 512
 
 /**
  * Describes a request that waits.
@@ -14,46 +14,46 @@
  * @property onTimeUntilMillis when an answer is late
  * @property patienceMillis time for which waiting here still leaves an answer a chance
  */
-internal interface Waiter {
+internal interface QueuedRequest {
     val rank: Int
     val arrivedAtMillis: Long
     val onTimeUntilMillis: Long
-    val patienceMillis: Long
+    val maxWaitMillis: Long
 }
 
-internal class WaitingLine<W : Waiter>(
+internal class WaitQueue<W : QueuedRequest>(
     private val nowMillis: () -> Long,
 ) {
-    private val waiting = ArrayList<W>()
+    private val queued = ArrayList<W>()
 
-    val size: Int get() = waiting.size
+    val size: Int get() = queued.size
 
     /** Adds [waiter] and returns those that have to go because the line is full. */
-    fun add(waiter: W): List<W> {
-        waiting += waiter
-        if (waiting.size <= MAX_WAITING) return emptyList()
-        waiting.sortWith(order(nowMillis()))
-        return listOf(waiting.removeLast())
+    fun add(request: W): List<W> {
+        queued += request
+        if (queued.size <= MAX_QUEUED) return emptyList()
+        queued.sortWith(order(nowMillis()))
+        return listOf(queued.removeLast())
     }
 
-    fun remove(waiter: W): Boolean = waiting.remove(waiter)
+    fun remove(request: W): Boolean = queued.remove(request)
 
     /** Hands the waiting requests to [take] in order and drops those that it takes. */
-    fun offer(take: (W) -> Boolean) {
-        if (waiting.isEmpty()) return
-        waiting.sortWith(order(nowMillis()))
-        val offered = waiting.toList()
-        waiting.clear()
+    fun offer(accept: (W) -> Boolean) {
+        if (queued.isEmpty()) return
+        queued.sortWith(order(nowMillis()))
+        val offered = queued.toList()
+        queued.clear()
         // A request that is taken may end at once and join the line again.
-        offered.filterTo(ArrayList()) { !take(it) }.let { waiting.addAll(0, it) }
+        offered.filterTo(ArrayList()) { !accept(it) }.let { queued.addAll(0, it) }
     }
 
     /** Removes and returns the requests for which waiting longer is of no use. */
     fun expired(): List<W> {
         val now = nowMillis()
-        val over = waiting.filter { now - it.arrivedAtMillis >= it.patienceMillis }
-        waiting.removeAll(over.toSet())
-        return over
+        val timedOut = queued.filter { now - it.arrivedAtMillis >= it.maxWaitMillis }
+        queued.removeAll(timedOut.toSet())
+        return timedOut
     }
 
     private fun order(now: Long): Comparator<W> =
--- a/gateway/src/test/kotlin/io/carawaytrack/gateway/EventScannerTest.kt
+++ b/gateway/src/test/kotlin/io/carawaytrack/gateway/EventScannerTest.kt
@@ -14,10 +14,10 @@
 class EventScannerTest {
     private class Case(
         val name: String,
-        val arrived: List<String>,
-        val passedOn: String,
+        val received: List<String>,
+        val forwarded: String,
         val lastId: String?,
-        val whole: Boolean = true,
+        val atBoundary: Boolean = true,
         val resumedAfter: String? = null,
     )
 
@@ -26,7 +26,7 @@
         Case("one event", listOf("id: 1\ndata: a\n\n"), "id: 1\ndata: a\n\n", "1"),
         Case("an event in three parts", listOf("id: 1\nda", "ta: a\n", "\n"), "id: 1\ndata: a\n\n", "1"),
         Case("two events at once", listOf("id: 1\n\nid: 2\n\n"), "id: 1\n\nid: 2\n\n", "2"),
-        Case("an event and a half", listOf("id: 1\n\nid: 2\nda"), "id: 1\n\n", "1", whole = false),
+        Case("an event and a half", listOf("id: 1\n\nid: 2\nda"), "id: 1\n\n", "1", atBoundary = false),
         Case("carriage returns", listOf("id: 7\r\ndata: a\r\n\r\n"), "id: 7\r\ndata: a\r\n\r\n", "7"),
         Case("an id that isn't first", listOf("version: 3\nid: 4\n\n"), "version: 3\nid: 4\n\n", "4"),
         Case("no id", listOf("data: a\n\n"), "data: a\n\n", null),
@@ -35,15 +35,15 @@
     ).map { case ->
         dynamicTest(case.name) {
             val scanner = EventScanner(case.resumedAfter)
-            val passedOn =
-                case.arrived.joinToString("") { part ->
+            val forwarded =
+                case.received.joinToString("") { part ->
                     val bytes = Unpooled.copiedBuffer(part, Charsets.US_ASCII)
-                    val events = scanner.take(bytes, ByteBufAllocator.DEFAULT)
+                    val events = scanner.append(bytes, ByteBufAllocator.DEFAULT)
                     events.toString(Charsets.US_ASCII).also { events.release() }
                 }
-            expectThat(passedOn).isEqualTo(case.passedOn)
+            expectThat(forwarded).isEqualTo(case.forwarded)
             expectThat(scanner.lastId).isEqualTo(case.lastId)
-            expectThat(scanner.isAtBoundary).isEqualTo(case.whole)
+            expectThat(scanner.isAtBoundary).isEqualTo(case.atBoundary)
         }
     }
 }
--- a/gateway/src/test/kotlin/io/carawaytrack/gateway/GatewayTest.kt
+++ b/gateway/src/test/kotlin/io/carawaytrack/gateway/GatewayTest.kt
@@ -20,10 +20,6 @@
 import io.carawaytrack.model.UpstreamId
 import io.carawaytrack.model.ZoneName
 import io.netty.channel.nio.NioEventLoopGroup
-import java.io.OutputStream
-import java.net.ServerSocket
-import java.net.Socket
-import java.util.concurrent.TimeUnit
 import org.junit.jupiter.api.AfterEach
 import org.junit.jupiter.api.Test
 import strikt.api.expectThat
@@ -31,8 +27,12 @@
 import strikt.assertions.isEqualTo
 import strikt.assertions.isNotNull
 import strikt.assertions.isNull
+import java.io.OutputStream
+import java.net.ServerSocket
+import java.net.Socket
+import java.util.concurrent.TimeUnit
 
-private val vocabulary =
+private val headerNames =
     HeaderNames(
         attemptId = "x-attempt",
         deadlineMillis = "x-deadline",
@@ -61,7 +61,7 @@
     private val gateway =
         Gateway(
             GatewaySettings(callers, ZoneName("a"), RetrySettings(retryRatio = 1.0, leastRetries = 100)),
-            vocabulary,
+            headerNames,
             group,
             { emptyList() },
         ) { nowMillis() }
@@ -120,14 +120,14 @@
         engine = if (name == "llm") EngineTraits(8, 1_000, emptyList()) else null,
     )
 
-    private fun onLoop(act: () -> Unit) {
-        group.next().submit(act).get(LIMIT_SECONDS, TimeUnit.SECONDS)
+    private fun onLoop(action: () -> Unit) {
+        group.next().submit(action).get(TIMEOUT_SECONDS, TimeUnit.SECONDS)
     }
 
     /** Starts upstreams that share the pools "stock" and "llm", the first one in the gateway's own zone. */
-    private fun serve(vararg answers: (RawMessage, OutputStream, Socket) -> Boolean) {
-        answers.forEachIndexed { index, answer ->
-            val upstream = FakeUpstream(answer)
+    private fun serve(vararg responders: (RawMessage, OutputStream, Socket) -> Boolean) {
+        responders.forEachIndexed { index, responder ->
+            val upstream = FakeUpstream(responder)
             upstreams += upstream
             listOf("stock", "llm").forEach { pool -> announce("$pool-$index", pool, upstream, index) }
         }
@@ -166,12 +166,12 @@
     ) = "POST $path HTTP/1.1\nHost: shop.example\nx-attempt: id1\nx-deadline: $deadlineMillis\n" +
         "Authorization: Bearer $key\n${headers}Content-Length: ${body.length}\n\n$body"
 
-    private fun ask(text: String): RawMessage? = FakeCaller(callers).use { caller ->
+    private fun exchange(text: String): RawMessage? = FakeCaller(callers).use { caller ->
         caller.send(text)
-        caller.answer()
+        caller.response()
     }
 
-    private fun whole(
+    private fun fullResponse(
         status: String,
         body: String,
         headers: String = "x-seal: s\n",
@@ -191,54 +191,54 @@
     fun stop() {
         gateway.close()
         upstreams.forEach { it.close() }
-        group.shutdownGracefully(0, 0, TimeUnit.SECONDS).get(LIMIT_SECONDS, TimeUnit.SECONDS)
+        group.shutdownGracefully(0, 0, TimeUnit.SECONDS).get(TIMEOUT_SECONDS, TimeUnit.SECONDS)
     }
 
     @Test
     fun `a request reaches its upstream unchanged but for what the gateway sets`() {
-        serve({ _, out, _ -> true.also { out.send(whole("200 OK", "done")) } })
-        val answer = ask(request("/lookup/x?q=1", "hello", "x-organisation: other\nx-own: 7\nx-expect: me\n"))
-        val seen = checkNotNull(upstreams[0].requests.poll(LIMIT_SECONDS, TimeUnit.SECONDS))
-        expectThat(seen.start).isEqualTo("POST /lookup/x?q=1 HTTP/1.1")
-        expectThat(seen.body).isEqualTo("hello")
-        expectThat(seen["x-organisation"]).isEqualTo("stalls")
-        expectThat(seen["x-expect"]).isEqualTo("stock-0")
-        expectThat(seen["x-own"]).isEqualTo("7")
-        expectThat(seen["authorization"]).isNull()
-        expectThat(answer?.body).isEqualTo("done")
-        expectThat(answer?.get("x-seal")).isEqualTo("s")
+        serve({ _, out, _ -> true.also { out.send(fullResponse("200 OK", "done")) } })
+        val response = exchange(request("/lookup/x?q=1", "hello", "x-organisation: other\nx-own: 7\nx-expect: me\n"))
+        val received = checkNotNull(upstreams[0].requests.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS))
+        expectThat(received.start).isEqualTo("POST /lookup/x?q=1 HTTP/1.1")
+        expectThat(received.body).isEqualTo("hello")
+        expectThat(received["x-organisation"]).isEqualTo("stalls")
+        expectThat(received["x-expect"]).isEqualTo("stock-0")
+        expectThat(received["x-own"]).isEqualTo("7")
+        expectThat(received["authorization"]).isNull()
+        expectThat(response?.body).isEqualTo("done")
+        expectThat(response?.get("x-seal")).isEqualTo("s")
     }
 
     @Test
     fun `a request that no row or key allows is refused`() {
-        serve({ _, out, _ -> true.also { out.send(whole("200 OK", "done")) } })
-        expectThat(ask(request("/nothing/x"))?.start).isEqualTo("HTTP/1.1 404 Not Found")
-        expectThat(ask(request("/lookup/x", key = "k9"))?.start).isEqualTo("HTTP/1.1 401 Unauthorized")
-        expectThat(ask(request("/lookup/x", body = "x".repeat(1_001)))?.start?.substring(9, 12)).isEqualTo("413")
+        serve({ _, out, _ -> true.also { out.send(fullResponse("200 OK", "done")) } })
+        expectThat(exchange(request("/nothing/x"))?.start).isEqualTo("HTTP/1.1 404 Not Found")
+        expectThat(exchange(request("/lookup/x", key = "k9"))?.start).isEqualTo("HTTP/1.1 401 Unauthorized")
+        expectThat(exchange(request("/lookup/x", body = "x".repeat(1_001)))?.start?.substring(9, 12)).isEqualTo("413")
     }
 
     @Test
     fun `a request is told to come back before any configuration is known`() {
-        expectThat(ask(request("/lookup/x"))?.start?.substring(9, 12)).isEqualTo("503")
+        expectThat(exchange(request("/lookup/x"))?.start?.substring(9, 12)).isEqualTo("503")
     }
 
     @Test
     fun `a request that an upstream has not run goes to another one`() {
         serve(
-            { _, out, _ -> true.also { out.send(whole("503 Service Unavailable", "", "x-not-executed: 1\n")) } },
-            { _, out, _ -> true.also { out.send(whole("200 OK", "second")) } },
+            { _, out, _ -> true.also { out.send(fullResponse("503 Service Unavailable", "", "x-not-executed: 1\n")) } },
+            { _, out, _ -> true.also { out.send(fullResponse("200 OK", "second")) } },
         )
-        expectThat(ask(request("/pay/x"))?.body).isEqualTo("second")
+        expectThat(exchange(request("/pay/x"))?.body).isEqualTo("second")
     }
 
     @Test
     fun `an upstream at another's address is left for good`() {
         serve(
-            { _, out, _ -> true.also { out.send(whole("421 Misdirected Request", "", "")) } },
-            { _, out, _ -> true.also { out.send(whole("200 OK", "second")) } },
+            { _, out, _ -> true.also { out.send(fullResponse("421 Misdirected Request", "", "")) } },
+            { _, out, _ -> true.also { out.send(fullResponse("200 OK", "second")) } },
         )
-        expectThat(ask(request("/pay/x"))?.body).isEqualTo("second")
-        expectThat(ask(request("/pay/x"))?.body).isEqualTo("second")
+        expectThat(exchange(request("/pay/x"))?.body).isEqualTo("second")
+        expectThat(exchange(request("/pay/x"))?.body).isEqualTo("second")
         expectThat(upstreams[0].requests.size).isEqualTo(1)
     }
 
@@ -252,40 +252,40 @@
                 ->
                 false.also { out.send("HTTP/1.1 200 OK\nx-attempt: id1\nx-seal: s\nContent-Length: 50\n\nhalf") }
             },
-            { _, out, _ -> true.also { out.send(whole("200 OK", "second")) } },
+            { _, out, _ -> true.also { out.send(fullResponse("200 OK", "second")) } },
         )
-        expectThat(ask(request("/lookup/x"))?.body).isEqualTo("second")
+        expectThat(exchange(request("/lookup/x"))?.body).isEqualTo("second")
     }
 
     @Test
     fun `a request that may run once isn't sent again after its connection broke`() {
         serve(
             { _, _, _ -> false },
-            { _, out, _ -> true.also { out.send(whole("200 OK", "second")) } },
+            { _, out, _ -> true.also { out.send(fullResponse("200 OK", "second")) } },
         )
-        expectThat(ask(request("/pay/x"))?.start?.substring(9, 12)).isEqualTo("502")
+        expectThat(exchange(request("/pay/x"))?.start?.substring(9, 12)).isEqualTo("502")
         expectThat(upstreams[1].requests.size).isEqualTo(0)
     }
 
     @Test
     fun `an answer without a seal is no success`() {
-        serve({ _, out, _ -> true.also { out.send(whole("200 OK", "done", "")) } })
-        expectThat(ask(request("/pay/x"))?.start?.substring(9, 12)).isEqualTo("502")
+        serve({ _, out, _ -> true.also { out.send(fullResponse("200 OK", "done", "")) } })
+        expectThat(exchange(request("/pay/x"))?.start?.substring(9, 12)).isEqualTo("502")
     }
 
     @Test
     fun `a late answer to another request is passed over`() {
         serve({ _, out, _ ->
             out.send("HTTP/1.1 200 OK\nx-attempt: id0\nx-seal: s\nContent-Length: 5\n\nother")
-            true.also { out.send(whole("200 OK", "mine")) }
+            true.also { out.send(fullResponse("200 OK", "mine")) }
         })
-        expectThat(ask(request("/pay/x"))?.body).isEqualTo("mine")
+        expectThat(exchange(request("/pay/x"))?.body).isEqualTo("mine")
     }
 
     @Test
     fun `an answer whose length only its connection's end tells is passed on`() {
         serve({ _, out, _ -> false.also { out.send("HTTP/1.1 200 OK\nx-attempt: id1\nx-seal: s\n\nall of it") } })
-        expectThat(ask(request("/pay/x"))?.body).isEqualTo("all of it")
+        expectThat(exchange(request("/pay/x"))?.body).isEqualTo("all of it")
     }
 
     @Test
@@ -296,7 +296,7 @@
             socket.setSoLinger(true, 0)
             false
         })
-        expectThat(ask(request("/pay/x"))?.start?.substring(9, 12)).isEqualTo("502")
+        expectThat(exchange(request("/pay/x"))?.start?.substring(9, 12)).isEqualTo("502")
     }
 
     @Test
@@ -314,7 +314,7 @@
                 true
             },
         )
-        expectThat(ask(request("/draft/x"))?.body)
+        expectThat(exchange(request("/draft/x"))?.body)
             .isEqualTo("id: 1\ndata: 1\n\nid: 2\ndata: 2\n\nid: 3\ndata: 3\n\n")
     }
 
@@ -322,18 +322,18 @@
     fun `a failure by the upstream that is to go on with a stream isn't the stream's end`() {
         serve(
             { _, out, _ -> false.also { out.send(STREAM_HEAD).also { _ -> out.raw(event(1)) } } },
-            { _, out, _ -> true.also { out.send(whole("500 Internal Server Error", "sorry")) } },
+            { _, out, _ -> true.also { out.send(fullResponse("500 Internal Server Error", "sorry")) } },
         )
-        expectThat(ask(request("/draft/x"))?.body.orEmpty()).isEqualTo("id: 1\ndata: 1\n\n(broken off)")
+        expectThat(exchange(request("/draft/x"))?.body.orEmpty()).isEqualTo("id: 1\ndata: 1\n\n(broken off)")
     }
 
     @Test
     fun `a stream that may not be resumed ends broken off`() {
         serve(
             { _, out, _ -> false.also { out.send(STREAM_HEAD).also { _ -> out.raw(event(1)) } } },
-            { _, out, _ -> true.also { out.send(whole("200 OK", "second")) } },
+            { _, out, _ -> true.also { out.send(fullResponse("200 OK", "second")) } },
         )
-        expectThat(ask(request("/oneoff/x"))?.body.orEmpty()).contains("(broken off)")
+        expectThat(exchange(request("/oneoff/x"))?.body.orEmpty()).contains("(broken off)")
         expectThat(upstreams[1].requests.size).isEqualTo(0)
     }
 
@@ -348,16 +348,16 @@
         })
         FakeCaller(callers).use { caller ->
             caller.send(request("/draft/x"))
-            checkNotNull(upstreams[0].requests.poll(LIMIT_SECONDS, TimeUnit.SECONDS))
+            checkNotNull(upstreams[0].requests.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS))
         }
-        expectThat(upstreams[0].closedByPeer.poll(LIMIT_SECONDS, TimeUnit.SECONDS)).isNotNull()
+        expectThat(upstreams[0].closedByPeer.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isNotNull()
     }
 
     @Test
     fun `a request without an answer in time gets its final answer then`() {
         serve({ _, _, socket -> socket.getInputStream().read() >= 0 })
-        val answer = ask(request("/pay/x", deadlineMillis = 300))
-        expectThat(answer?.start?.substring(9, 12)).isEqualTo("504")
+        val response = exchange(request("/pay/x", deadlineMillis = 300))
+        expectThat(response?.start?.substring(9, 12)).isEqualTo("504")
     }
 
     @Test
@@ -366,33 +366,33 @@
             { request, out, _ ->
                 true.also {
                     out.send(
-                        whole("200 OK", request.start.substringAfter("/lookup/").take(1)),
+                        fullResponse("200 OK", request.start.substringAfter("/lookup/").take(1)),
                     )
                 }
             },
         )
         FakeCaller(callers).use { caller ->
             caller.send(request("/lookup/1") + request("/lookup/2"))
-            expectThat(caller.answer()?.body).isEqualTo("1")
-            expectThat(caller.answer()?.body).isEqualTo("2")
+            expectThat(caller.response()?.body).isEqualTo("1")
+            expectThat(caller.response()?.body).isEqualTo("2")
         }
     }
 
     @Test
     fun `a request whose end two readers might see in different places is refused`() {
-        serve({ _, out, _ -> true.also { out.send(whole("200 OK", "done")) } })
-        val smuggled = request("/lookup/x", headers = "Transfer-Encoding: chunked\n") + "0\n\n"
-        expectThat(ask(smuggled)?.start?.substring(9, 12)).isEqualTo("400")
+        serve({ _, out, _ -> true.also { out.send(fullResponse("200 OK", "done")) } })
+        val ambiguous = request("/lookup/x", headers = "Transfer-Encoding: chunked\n") + "0\n\n"
+        expectThat(exchange(ambiguous)?.start?.substring(9, 12)).isEqualTo("400")
         expectThat(upstreams[0].requests.size).isEqualTo(0)
     }
 
     @Test
     fun `a draining gateway refuses streams and still answers calls`() {
-        serve({ _, out, _ -> true.also { out.send(whole("200 OK", "done")) } })
+        serve({ _, out, _ -> true.also { out.send(fullResponse("200 OK", "done")) } })
         FakeCaller(callers).use { caller ->
             FakeCaller(callers).use { other ->
                 caller.send(request("/lookup/x"))
-                expectThat(caller.answer()?.body).isEqualTo("done")
+                expectThat(caller.response()?.body).isEqualTo("done")
                 // A connection on which a request has begun is not idle.
                 other.send(
                     "POST /draft/x HTTP/1.1\nHost: shop.example\nx-attempt: id1\nContent-Length: 1\n" +
@@ -403,8 +403,8 @@
                 onLoop { gateway.drain() }
                 other.send("x")
                 caller.send("b")
-                expectThat(caller.answer()?.body).isEqualTo("done")
-                expectThat(other.answer()?.start?.substring(9, 12)).isEqualTo("503")
+                expectThat(caller.response()?.body).isEqualTo("done")
+                expectThat(other.response()?.start?.substring(9, 12)).isEqualTo("503")
             }
         }
     }
@@ -412,6 +412,6 @@
     /** Waits until the gateway has read what was sent on its connections so far. */
     private fun FakeCaller.awaitRead() {
         check(!socket.isClosed) { "expected an open connection" }
-        repeat(2) { ask(request("/lookup/x")) }
+        repeat(2) { exchange(request("/lookup/x")) }
     }
 }
--- a/gateway/src/test/kotlin/io/carawaytrack/gateway/OwnAnswerTest.kt
+++ b/gateway/src/test/kotlin/io/carawaytrack/gateway/LocalReplyTest.kt
@@ -13,21 +13,21 @@
 import strikt.assertions.isEqualTo
 import strikt.assertions.isFalse
 
-class OwnAnswerTest {
+class LocalReplyTest {
     @TestFactory
     fun `no kind promises that a request which may have run has not`(): List<DynamicTest> = ErrorKind.entries
         .flatMap { kind ->
             listOf(Execution.MayHaveRun, Execution.Ran).map { kind to it }
         }.map { (kind, ran) ->
             dynamicTest("$kind $ran") {
-                expectThat(answerTo(Failure(kind, ran)).status in setOf(408, 421, 429, 503)).isFalse()
+                expectThat(localReplyTo(Failure(kind, ran)).status in setOf(408, 421, 429, 503)).isFalse()
             }
         }
 
     @TestFactory
     fun `a kind has its status where nothing ran`(): List<DynamicTest> = ErrorKind.entries.map { kind ->
         dynamicTest("$kind") {
-            expectThat(answerTo(Failure(kind, Execution.NotRun)).status).isEqualTo(kind.status)
+            expectThat(localReplyTo(Failure(kind, Execution.NotRun)).status).isEqualTo(kind.status)
         }
     }
 }
--- a/gateway/src/test/kotlin/io/carawaytrack/gateway/Loopback.kt
+++ b/gateway/src/test/kotlin/io/carawaytrack/gateway/Loopback.kt
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit
 import kotlin.concurrent.thread
 
-internal const val LIMIT_SECONDS = 20L
+internal const val TIMEOUT_SECONDS = 20L
 
 /** A message as it came over a socket. */
 internal class RawMessage(
@@ -62,7 +62,7 @@
 
 /** An upstream that answers each request by [answer]; a connection ends when the function returns false. */
 internal class FakeUpstream(
-    private val answer: (RawMessage, OutputStream, Socket) -> Boolean,
+    private val respond: (RawMessage, OutputStream, Socket) -> Boolean,
 ) : AutoCloseable {
     private val server = ServerSocket(0)
     val address = HostPort("127.0.0.1", server.localPort)
@@ -85,20 +85,20 @@
 
     private fun serve(socket: Socket) = socket.use {
         try {
-            answerAll(it, BufferedInputStream(it.getInputStream()))
+            serveRequests(it, BufferedInputStream(it.getInputStream()))
         } catch (_: IOException) {
             closedByPeer += "closed"
         }
     }
 
-    private fun answerAll(
+    private fun serveRequests(
         socket: Socket,
         input: InputStream,
     ) {
         while (true) {
             val request = readMessage(input) ?: return
             requests += request
-            if (!answer(request, socket.getOutputStream(), socket)) return
+            if (!respond(request, socket.getOutputStream(), socket)) return
         }
     }
 
@@ -113,7 +113,7 @@
     private val input = BufferedInputStream(socket.getInputStream())
 
     init {
-        socket.soTimeout = TimeUnit.SECONDS.toMillis(LIMIT_SECONDS).toInt()
+        socket.soTimeout = TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS).toInt()
     }
 
     fun send(text: String) {
@@ -121,7 +121,7 @@
         socket.getOutputStream().flush()
     }
 
-    fun answer(): RawMessage? = readMessage(input)
+    fun response(): RawMessage? = readMessage(input)
 
     override fun close() = socket.close()
 }
--- a/gateway/src/test/kotlin/io/carawaytrack/gateway/ModelPolicyTest.kt
+++ b/gateway/src/test/kotlin/io/carawaytrack/gateway/ModelPolicyTest.kt
@@ -56,45 +56,77 @@
     private class Case(
         val name: String,
         val promptTokens: Int,
-        val answerTokens: Int,
+        val outputTokens: Int,
         val confidence: Int,
         val index: Int,
-        val leftMillis: Long,
-        val larger: Int?,
+        val remainingMillis: Long,
+        val escalationTarget: Int?,
     )
 
     @TestFactory
     fun `a doubtful answer is replaced by the largest model's`(): List<DynamicTest> = listOf(
-        Case("confident", 1_000, 300, confidence = 90, index = 0, leftMillis = 1_900, larger = null),
-        Case("just confident enough", 1_000, 300, confidence = 70, index = 0, leftMillis = 1_900, larger = null),
-        Case("doubtful", 1_000, 300, confidence = 65, index = 0, leftMillis = 1_900, larger = 2),
-        Case("doubtful, but hardly any time", 1_000, 300, confidence = 65, index = 0, leftMillis = 400, larger = null),
+        Case("confident", 1_000, 300, confidence = 90, index = 0, remainingMillis = 1_900, escalationTarget = null),
+        Case(
+            "just confident enough",
+            1_000,
+            300,
+            confidence = 70,
+            index = 0,
+            remainingMillis = 1_900,
+            escalationTarget = null,
+        ),
+        Case("doubtful", 1_000, 300, confidence = 65, index = 0, remainingMillis = 1_900, escalationTarget = 2),
+        Case(
+            "doubtful, but hardly any time",
+            1_000,
+            300,
+            confidence = 65,
+            index = 0,
+            remainingMillis = 400,
+            escalationTarget = null,
+        ),
         Case(
             "doubtful, but already the largest",
             1_000,
             300,
             confidence = 10,
             index = 2,
-            leftMillis = 1_900,
-            larger = null,
+            remainingMillis = 1_900,
+            escalationTarget = null,
+        ),
+        Case(
+            "a little doubtful, and dear",
+            2_000,
+            20,
+            confidence = 40,
+            index = 0,
+            remainingMillis = 1_900,
+            escalationTarget = null,
+        ),
+        Case(
+            "more likely wrong, though dear",
+            2_000,
+            20,
+            confidence = 30,
+            index = 0,
+            remainingMillis = 1_900,
+            escalationTarget = 2,
         ),
-        Case("a little doubtful, and dear", 2_000, 20, confidence = 40, index = 0, leftMillis = 1_900, larger = null),
-        Case("more likely wrong, though dear", 2_000, 20, confidence = 30, index = 0, leftMillis = 1_900, larger = 2),
     ).map { case ->
         dynamicTest(case.name) {
             val policy = ModelPolicy { nowMillis }
-            policy.learnLength(route, case.answerTokens)
+            policy.recordOutputLength(route, case.outputTokens)
             val demand = PromptDemand(case.promptTokens, 1_000)
             expectThat(
-                policy.larger(route, case.index, demand, case.confidence, case.leftMillis),
-            ).isEqualTo(case.larger)
+                policy.escalationTarget(route, case.index, demand, case.confidence, case.remainingMillis),
+            ).isEqualTo(case.escalationTarget)
         }
     }
 
     @Test
     fun `the largest model is asked at once where the smallest is nearly as dear`() {
-        expectThat(ModelPolicy { nowMillis }.first(route, pool(small = 0.02, large = 0.24))).isEqualTo(0)
-        expectThat(ModelPolicy { nowMillis }.first(route, pool(small = 0.2, large = 0.24))).isEqualTo(2)
+        expectThat(ModelPolicy { nowMillis }.firstModel(route, pool(small = 0.02, large = 0.24))).isEqualTo(0)
+        expectThat(ModelPolicy { nowMillis }.firstModel(route, pool(small = 0.2, large = 0.24))).isEqualTo(2)
     }
 
     /** Plays 2,000 requests whose difficulty is even; an opinion is off by up to a fifth of its scale. */
@@ -104,31 +136,35 @@
         val policy = ModelPolicy { nowMillis }
         val prices = pool(small = 0.016, large = 0.24)
         val demand = PromptDemand(1_000, 1_000)
-        policy.learnLength(route, 300)
+        policy.recordOutputLength(route, 300)
         var good = 0
-        var paid = 0.0
+        var cost = 0.0
         repeat(2_000) {
             val margin = 0.6 - random.nextDouble()
-            val opinion = (50 + 180 * margin + 40 * (random.nextDouble() - 0.5)).toInt().coerceIn(0, 100)
-            val first = policy.first(route, prices)
-            policy.learn(route, first, demand, opinion)
-            val larger = policy.larger(route, first, demand, opinion, onTimeLeftMillis = 1_900)
-            paid += if (first == 0) 0.016 else 0.24
-            if (larger != null) paid += 0.24
-            if (margin > 0 || larger == 2 || first == 2) good++
+            val confidence = (50 + 180 * margin + 40 * (random.nextDouble() - 0.5)).toInt().coerceIn(0, 100)
+            val first = policy.firstModel(route, prices)
+            policy.recordConfidence(route, first, demand, confidence)
+            val escalatedTo = policy.escalationTarget(route, first, demand, confidence, onTimeRemainingMillis = 1_900)
+            cost += if (first == 0) 0.016 else 0.24
+            if (escalatedTo != null) cost += 0.24
+            if (margin > 0 || escalatedTo == 2 || first == 2) good++
         }
         expectThat(good).isGreaterThan(1_950)
-        expectThat(paid).isLessThan(2_000 * 0.24 * 2 / 3)
+        expectThat(cost).isLessThan(2_000 * 0.24 * 2 / 3)
     }
 
     @Test
     fun `a doubtful answer is kept while the largest model's would come late, and replaced when that has passed`() {
         val policy = ModelPolicy { nowMillis }
         val demand = PromptDemand(1_000, 1_000)
-        repeat(20) { policy.learnWait(route, waitMillis = 3_000) }
-        expectThat(policy.larger(route, 0, demand, confidence = 20, onTimeLeftMillis = 1_800)).isEqualTo(null)
+        repeat(20) { policy.recordWait(route, waitMillis = 3_000) }
+        expectThat(
+            policy.escalationTarget(route, 0, demand, confidence = 20, onTimeRemainingMillis = 1_800),
+        ).isEqualTo(null)
         nowMillis += 4_000
-        expectThat(policy.larger(route, 0, demand, confidence = 20, onTimeLeftMillis = 1_800)).isEqualTo(2)
+        expectThat(
+            policy.escalationTarget(route, 0, demand, confidence = 20, onTimeRemainingMillis = 1_800),
+        ).isEqualTo(2)
     }
 
     /**
@@ -137,32 +173,39 @@
      */
     @Test
     fun `callers get more good answers in time under overload than by asking the largest model for every hard one`() {
-        val (goodWithWait, _) = playOverload(learning = true)
-        val (goodWithout, lateWithout) = playOverload(learning = false)
-        expectThat(goodWithWait).isGreaterThan(goodWithout)
-        expectThat(lateWithout).isGreaterThan(200)
+        val (goodWithWaits, _) = simulateOverload(recordWaits = true)
+        val (goodWithoutWaits, lateWithoutWaits) = simulateOverload(recordWaits = false)
+        expectThat(goodWithWaits).isGreaterThan(goodWithoutWaits)
+        expectThat(lateWithoutWaits).isGreaterThan(200)
     }
 
-    private fun playOverload(learning: Boolean): Pair<Int, Int> {
+    private fun simulateOverload(recordWaits: Boolean): Pair<Int, Int> {
         nowMillis = 0
         val random = Random(5)
         val policy = ModelPolicy { nowMillis }
-        val begun = ArrayList<Pair<Long, Long>>()
+        val started = ArrayList<Pair<Long, Long>>()
         var freeAtMillis = 0L
         var good = 0
         var late = 0
         repeat(600) {
             nowMillis += 100
-            if (learning) begun.filter { it.first <= nowMillis }.forEach { policy.learnWait(route, it.second) }
-            begun.removeAll { it.first <= nowMillis }
-            val opinion = if (random.nextBoolean()) 90 else 30
-            val larger = policy.larger(route, 0, PromptDemand(1_000, 1_000), opinion, onTimeLeftMillis = 1_900)
-            if (larger == null) {
-                if (random.nextInt(100) < opinion) good++
+            if (recordWaits) started.filter { it.first <= nowMillis }.forEach { policy.recordWait(route, it.second) }
+            started.removeAll { it.first <= nowMillis }
+            val confidence = if (random.nextBoolean()) 90 else 30
+            val escalatedTo =
+                policy.escalationTarget(
+                    route,
+                    0,
+                    PromptDemand(1_000, 1_000),
+                    confidence,
+                    onTimeRemainingMillis = 1_900,
+                )
+            if (escalatedTo == null) {
+                if (random.nextInt(100) < confidence) good++
                 return@repeat
             }
             freeAtMillis = maxOf(freeAtMillis, nowMillis) + 250
-            begun += freeAtMillis to freeAtMillis - nowMillis
+            started += freeAtMillis to freeAtMillis - nowMillis
             if (freeAtMillis - nowMillis <= 1_900) good++ else late++
         }
         return good to late
--- a/gateway/src/test/kotlin/io/carawaytrack/gateway/PlacementLoadTest.kt
+++ b/gateway/src/test/kotlin/io/carawaytrack/gateway/PlacementLoadTest.kt
@@ -17,14 +17,14 @@
 
 private const val ENGINES = 6
 private const val HOSTS = 8
-private const val SUBJECTS = 63
+private const val SHARED_PREFIXES = 63
 private const val LENGTH_MILLIS = 30_000.0
 
 /** Requests a second over all hosts: more than the engines can read if they read every shared part again. */
 private const val REQUESTS_PER_SECOND = 40.0
 
 /** Prompt tokens that an engine reads in a millisecond for the largest model. */
-private const val TOKENS_PER_MILLI = 42.0
+private const val PREFILL_TOKENS_PER_MILLISECOND = 42.0
 
 /** Time that an answer takes after its prompt has been read, in milliseconds. */
 private const val ANSWER_MILLIS = 2_500.0
@@ -38,35 +38,35 @@
 )
 
 /** An engine that reads prompts in order; each answer occupies it until its end. */
-private class ReadingEngine {
-    val held = HashSet<String>()
-    val endsAtMillis = ArrayList<Double>()
-    var readUntilMillis = 0.0
-    var readTokens = 0L
+private class SimulatedEngine {
+    val cachedParts = HashSet<String>()
+    val busyUntilMillis = ArrayList<Double>()
+    var prefillUntilMillis = 0.0
+    var prefillTokens = 0L
 
-    fun loadAt(millis: Double): Int = endsAtMillis.count { it > millis }
+    fun loadAt(millis: Double): Int = busyUntilMillis.count { it > millis }
 
     /** Takes a request and returns the time to its first event. */
-    fun take(arrival: Arrival): Double {
-        val unheld =
+    fun accept(arrival: Arrival): Double {
+        val uncachedTokens =
             arrival.demand.sharedParts
-                .filter { held.add(it.id) }
+                .filter { cachedParts.add(it.id) }
                 .sumOf { it.tokens }
         val tokens =
-            unheld +
+            uncachedTokens +
                 arrival.demand.parts
                     .last()
                     .tokens
-        readTokens += tokens
-        readUntilMillis = maxOf(readUntilMillis, arrival.atMillis) + tokens / TOKENS_PER_MILLI
-        endsAtMillis += readUntilMillis + ANSWER_MILLIS
-        return readUntilMillis - arrival.atMillis
+        prefillTokens += tokens
+        prefillUntilMillis = maxOf(prefillUntilMillis, arrival.atMillis) + tokens / PREFILL_TOKENS_PER_MILLISECOND
+        busyUntilMillis += prefillUntilMillis + ANSWER_MILLIS
+        return prefillUntilMillis - arrival.atMillis
     }
 }
 
 private class Outcome(
     val onTime: Double,
-    val readTokens: Long,
+    val prefillTokens: Long,
 )
 
 /** Chooses an engine by what the host knows: its own requests there and a report that is old. */
@@ -78,18 +78,18 @@
         var atMillis = 0.0
         return generateSequence {
             atMillis += -ln(1 - random.nextDouble()) / REQUESTS_PER_SECOND * MILLIS_PER_SECOND
-            val subject = random.nextInt(SUBJECTS)
+            val sharedPrefix = random.nextInt(SHARED_PREFIXES)
             val own = (exp(random.nextGaussian()) * OWN_TOKENS).toInt().coerceIn(1, MAX_OWN_TOKENS)
-            val parts = listOf(PromptPart("s$subject", SHARED_TOKENS), PromptPart("own$atMillis", own))
+            val parts = listOf(PromptPart("s$sharedPrefix", SHARED_TOKENS), PromptPart("own$atMillis", own))
             Arrival(atMillis, random.nextInt(HOSTS), PromptDemand(SHARED_TOKENS + own, 300, parts))
         }.takeWhile { it.atMillis < LENGTH_MILLIS }.toList()
     }
 
-    private fun play(
+    private fun simulate(
         arrivals: List<Arrival>,
         choose: Choice,
     ): Outcome {
-        val engines = List(ENGINES) { ReadingEngine() }
+        val engines = List(ENGINES) { SimulatedEngine() }
         var onTime = 0
         arrivals.forEachIndexed { number, arrival ->
             val candidates =
@@ -98,28 +98,29 @@
                     Candidate(UpstreamId("e$index"), sameZone = true, load, slots = 64, engine = true)
                 }
             val chosen = engines[choose(arrival, candidates, number)]
-            if (chosen.take(arrival) <= TARGET_MILLIS) onTime++
+            if (chosen.accept(arrival) <= TARGET_MILLIS) onTime++
         }
-        return Outcome(onTime.toDouble() / arrivals.size, engines.sumOf { it.readTokens })
+        return Outcome(onTime.toDouble() / arrivals.size, engines.sumOf { it.prefillTokens })
     }
 
     private fun byCost(
         arrival: Arrival,
         candidates: List<Candidate>,
-    ): Int = candidates.indexOf(place(candidates, arrival.demand))
+    ): Int = candidates.indexOf(selectCandidate(candidates, arrival.demand))
 
     @TestFactory
     fun `more answers begin in time than by round robin or by the fewest requests outstanding`(): List<DynamicTest> =
         listOf(1L, 2L, 3L).map { seed ->
             dynamicTest("seed $seed") {
                 val arrivals = arrivals(seed)
-                val placed = play(arrivals) { arrival, candidates, _ -> byCost(arrival, candidates) }
-                val inTurn = play(arrivals) { _, _, number -> number % ENGINES }
-                val fewest = play(arrivals) { _, candidates, _ -> candidates.indices.minBy { candidates[it].load } }
-                expectThat(placed.onTime).isGreaterThan(inTurn.onTime)
-                expectThat(placed.onTime).isGreaterThan(fewest.onTime)
-                expectThat(placed.readTokens).isLessThan(inTurn.readTokens)
-                expectThat(placed.readTokens).isLessThan(fewest.readTokens)
+                val placed = simulate(arrivals) { arrival, candidates, _ -> byCost(arrival, candidates) }
+                val roundRobin = simulate(arrivals) { _, _, number -> number % ENGINES }
+                val leastOutstanding =
+                    simulate(arrivals) { _, candidates, _ -> candidates.indices.minBy { candidates[it].load } }
+                expectThat(placed.onTime).isGreaterThan(roundRobin.onTime)
+                expectThat(placed.onTime).isGreaterThan(leastOutstanding.onTime)
+                expectThat(placed.prefillTokens).isLessThan(roundRobin.prefillTokens)
+                expectThat(placed.prefillTokens).isLessThan(leastOutstanding.prefillTokens)
             }
         }
 
--- a/gateway/src/test/kotlin/io/carawaytrack/gateway/PlacementTest.kt
+++ b/gateway/src/test/kotlin/io/carawaytrack/gateway/PlacementTest.kt
@@ -19,10 +19,19 @@
         id: String,
         load: Int = 0,
         sameZone: Boolean = true,
-        held: Set<String> = emptySet(),
-        failureShare: Double = 0.0,
-        silentMillis: Long = 0,
-    ) = Candidate(UpstreamId(id), sameZone, load, slots = 64, engine = true, held, failureShare, silentMillis)
+        cached: Set<String> = emptySet(),
+        failureRatio: Double = 0.0,
+        sinceAnnouncementMillis: Long = 0,
+    ) = Candidate(
+        UpstreamId(id),
+        sameZone,
+        load,
+        slots = 64,
+        engine = true,
+        cached,
+        failureRatio,
+        sinceAnnouncementMillis,
+    )
 
     private fun service(
         id: String,
@@ -58,52 +67,57 @@
         ),
         Case(
             "to the engine that holds its long prompt",
-            listOf(engine("a"), engine("b", load = 10, sameZone = false, held = setOf("subject")), engine("c")),
+            listOf(engine("a"), engine("b", load = 10, sameZone = false, cached = setOf("subject")), engine("c")),
             long,
             "b",
         ),
-        Case("away from one that fails", listOf(engine("a", failureShare = 0.4), engine("b", load = 30)), short, "b"),
-        Case("away from one that fell silent", listOf(engine("a", silentMillis = 5_000), engine("b", 30)), short, "b"),
+        Case("away from one that fails", listOf(engine("a", failureRatio = 0.4), engine("b", load = 30)), short, "b"),
+        Case(
+            "away from one that fell silent",
+            listOf(engine("a", sinceAnnouncementMillis = 5_000), engine("b", 30)),
+            short,
+            "b",
+        ),
         Case("to the service with a free slot", listOf(service("a", load = 6), service("b", 2, false)), short, "b"),
     ).map { case ->
         dynamicTest(case.name) {
-            expectThat(place(case.candidates, case.demand)?.id?.value).isEqualTo(case.chosen)
+            expectThat(selectCandidate(case.candidates, case.demand)?.id?.value).isEqualTo(case.chosen)
         }
     }
 
     @Test
     fun `hosts that know nothing of each other send a subject to the same engine`() {
         val engines = List(9) { engine("e$it") }
-        repeat(50) { subject ->
-            val demand = PromptDemand(5_100, 10, listOf(PromptPart("s$subject", 5_000), PromptPart("own", 100)))
-            val places = List(8) { host -> place(engines.shuffled(Random(host)), demand)?.id }.toSet()
+        repeat(50) { index ->
+            val demand = PromptDemand(5_100, 10, listOf(PromptPart("s$index", 5_000), PromptPart("own", 100)))
+            val places = List(8) { host -> selectCandidate(engines.shuffled(Random(host)), demand)?.id }.toSet()
             expectThat(places.size).isEqualTo(1)
         }
     }
 
     /** Plays 3 s of 40 requests a second on nine engines and counts the prompt tokens that are read. */
-    private fun tokensRead(choose: (List<Candidate>, PromptDemand) -> Candidate?): Int {
+    private fun prefilledTokens(choose: (List<Candidate>, PromptDemand) -> Candidate?): Int {
         val random = Random(7)
-        val held = List(9) { HashSet<String>() }
-        var read = 0
+        val cached = List(9) { HashSet<String>() }
+        var tokens = 0
         repeat(120) {
-            val subject = "s${random.nextInt(40)}"
-            val demand = PromptDemand(5_100, 10, listOf(PromptPart(subject, 5_000), PromptPart("own$it", 100)))
-            val engines = List(9) { index -> engine("e$index", load = random.nextInt(10), held = emptySet()) }
+            val sharedPrefix = "s${random.nextInt(40)}"
+            val demand = PromptDemand(5_100, 10, listOf(PromptPart(sharedPrefix, 5_000), PromptPart("own$it", 100)))
+            val engines = List(9) { index -> engine("e$index", load = random.nextInt(10), cached = emptySet()) }
             val index =
                 choose(engines, demand)!!
                     .id.value
                     .drop(1)
                     .toInt()
-            read += if (held[index].add(subject)) 5_100 else 100
+            tokens += if (cached[index].add(sharedPrefix)) 5_100 else 100
         }
-        return read
+        return tokens
     }
 
     @Test
     fun `shared prompts are read less often than with the least loaded engine`() {
-        val byCost = tokensRead(::place)
-        val byLoad = tokensRead { candidates, _ -> candidates.minByOrNull { it.load } }
+        val byCost = prefilledTokens(::selectCandidate)
+        val byLoad = prefilledTokens { candidates, _ -> candidates.minByOrNull { it.load } }
         expectThat(byCost).isLessThan(byLoad / 2)
         expectThat(byLoad).isGreaterThan(0)
     }
--- a/gateway/src/test/kotlin/io/carawaytrack/gateway/UpstreamStateTest.kt
+++ b/gateway/src/test/kotlin/io/carawaytrack/gateway/UpstreamStateTest.kt
@@ -39,57 +39,57 @@
 
     private class Case(
         val name: String,
-        val quietMillis: Long,
-        val suspect: Boolean,
+        val unansweredMillis: Long,
+        val suspected: Boolean,
     )
 
     @TestFactory
     fun `an upstream is suspected when it has owed a byte for long`(): List<DynamicTest> = listOf(
-        Case("one that has been quiet for a moment isn't", quietMillis = 800, suspect = false),
-        Case("one that has been quiet for a second is", quietMillis = 1_000, suspect = true),
+        Case("one that has been quiet for a moment isn't", unansweredMillis = 800, suspected = false),
+        Case("one that has been quiet for a second is", unansweredMillis = 1_000, suspected = true),
     ).map { case ->
         dynamicTest(case.name) {
             val state = UpstreamState(known(nowMillis), { nowMillis })
-            state.started()
-            nowMillis += case.quietMillis
-            expectThat(state.isSuspect).isEqualTo(case.suspect)
+            state.requestStarted()
+            nowMillis += case.unansweredMillis
+            expectThat(state.isSuspectedUnhealthy).isEqualTo(case.suspected)
         }
     }
 
     @Test
     fun `an upstream that sends something is suspected no longer`() {
         val state = UpstreamState(known(nowMillis), { nowMillis })
-        state.started()
+        state.requestStarted()
         nowMillis += 1_000
-        state.answered()
-        expectThat(state.isSuspect).isFalse()
+        state.bytesReceived()
+        expectThat(state.isSuspectedUnhealthy).isFalse()
     }
 
     @Test
     fun `an upstream that owes nothing is never suspected`() {
         val state = UpstreamState(known(nowMillis), { nowMillis })
-        state.started()
-        state.ended()
+        state.requestStarted()
+        state.requestEnded()
         nowMillis += 60_000
-        expectThat(state.isSuspect).isFalse()
+        expectThat(state.isSuspectedUnhealthy).isFalse()
     }
 
     @Test
     fun `a cold upstream is started no more often than its rate`() {
         val state = UpstreamState(known(nowMillis), { nowMillis })
-        expectThat(state.takeColdStart(perSecond = 2.0)).isTrue()
+        expectThat(state.tryColdStart(perSecond = 2.0)).isTrue()
         nowMillis += 400
-        expectThat(state.takeColdStart(perSecond = 2.0)).isFalse()
+        expectThat(state.tryColdStart(perSecond = 2.0)).isFalse()
         nowMillis += 200
-        expectThat(state.takeColdStart(perSecond = 2.0)).isTrue()
+        expectThat(state.tryColdStart(perSecond = 2.0)).isTrue()
     }
 
     @Test
     fun `own requests since a report count on top of it`() {
         val state = UpstreamState(known(nowMillis), { nowMillis })
-        state.started()
-        state.reported(ReportedLoad(running = 10, waiting = 2, slots = 64))
-        repeat(3) { state.started() }
+        state.requestStarted()
+        state.applyLoadReport(ReportedLoad(running = 10, waiting = 2, slots = 64))
+        repeat(3) { state.requestStarted() }
         expectThat(state.estimatedLoad()).isEqualTo(15)
     }
 }
--- a/gateway/src/test/kotlin/io/carawaytrack/gateway/WaitingLineTest.kt
+++ b/gateway/src/test/kotlin/io/carawaytrack/gateway/WaitQueueTest.kt
@@ -11,7 +11,7 @@
 import strikt.assertions.containsExactly
 import strikt.assertions.isEqualTo
 
-class WaitingLineTest {
+class WaitQueueTest {
     private var nowMillis = 1_000L
 
     private data class Request(
@@ -19,8 +19,8 @@
         override val rank: Int = 1,
         override val arrivedAtMillis: Long = 0,
         override val onTimeUntilMillis: Long = 10_000,
-        override val patienceMillis: Long = 5_000,
-    ) : Waiter
+        override val maxWaitMillis: Long = 5_000,
+    ) : QueuedRequest
 
     @TestFactory
     fun `waiting requests are offered in order`(): List<DynamicTest> = listOf(
@@ -29,34 +29,34 @@
         "late ones last" to listOf(Request("b", onTimeUntilMillis = 500), Request("a", arrivedAtMillis = 9)),
     ).map { (name, requests) ->
         dynamicTest(name) {
-            val line = WaitingLine<Request> { nowMillis }
-            requests.forEach { line.add(it) }
+            val queue = WaitQueue<Request> { nowMillis }
+            requests.forEach { queue.add(it) }
             val offered = ArrayList<String>()
-            line.offer { offered.add(it.name) }
+            queue.offer { offered.add(it.name) }
             expectThat(offered).containsExactly("a", "b")
         }
     }
 
     @Test
     fun `requests that aren't taken stay, and one that joins meanwhile is kept`() {
-        val line = WaitingLine<Request> { nowMillis }
-        line.add(Request("a"))
-        line.add(Request("b", arrivedAtMillis = 1))
-        line.offer { request ->
-            if (request.name == "a") line.add(Request("c", arrivedAtMillis = 2))
+        val queue = WaitQueue<Request> { nowMillis }
+        queue.add(Request("a"))
+        queue.add(Request("b", arrivedAtMillis = 1))
+        queue.offer { request ->
+            if (request.name == "a") queue.add(Request("c", arrivedAtMillis = 2))
             request.name == "a"
         }
-        val left = ArrayList<String>()
-        line.offer { left.add(it.name) }
-        expectThat(left).containsExactly("b", "c")
+        val remaining = ArrayList<String>()
+        queue.offer { remaining.add(it.name) }
+        expectThat(remaining).containsExactly("b", "c")
     }
 
     @Test
     fun `a request leaves when its patience is over`() {
-        val line = WaitingLine<Request> { nowMillis }
-        line.add(Request("short", patienceMillis = 500))
-        line.add(Request("long"))
-        expectThat(line.expired().map { it.name }).containsExactly("short")
-        expectThat(line.size).isEqualTo(1)
+        val queue = WaitQueue<Request> { nowMillis }
+        queue.add(Request("short", maxWaitMillis = 500))
+        queue.add(Request("long"))
+        expectThat(queue.expired().map { it.name }).containsExactly("short")
+        expectThat(queue.size).isEqualTo(1)
     }
 }
