--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/ExchangeContext.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/ExchangeContext.kt
@@ -1,5 +1,6 @@
 /*
- * What an exchange asks of its gateway, and what it says of itself while it lasts and at its end.
+ * Interface between an exchange and its gateway: the operations that an exchange requests, and the events and the outcome
+ * that it reports.
  */
 package io.carawaytrack.gateway
 
@@ -7,10 +8,10 @@
 import io.carawaytrack.model.ErrorKind
 import io.carawaytrack.model.Execution
 
-/** Says what an exchange waits for. */
+/** Phases of an exchange: waiting for an upstream, sent to an upstream, and ended. */
 internal enum class ExchangePhase { Waiting, Sent, Ended }
 
-/** Holds what is known of one exchange's end, for the log and the metrics; [failure] is null for an answer. */
+/** Outcome of an exchange, for the log and the metrics; [failure] is null when an upstream's response was relayed. */
 internal class ExchangeOutcome(
     val exchange: Exchange,
     private val status: Int,
@@ -27,7 +28,7 @@
         firstByteMillis = exchange.firstByteMillis,
     )
 
-    /** Returns what the log says of the end at [nowMillis]. */
+    /** Returns the log fields for an exchange that ends at [nowMillis]. */
     fun fields(nowMillis: Long): Map<String, Any?> = mapOf(
         "status" to status,
         "reason" to (failure?.name ?: "complete"),
@@ -39,13 +40,13 @@
     )
 }
 
-/** What an exchange asks of its gateway. */
+/** Operations of the gateway that an exchange uses. */
 internal interface ExchangeContext {
     val headerNames: HeaderNames
 
     fun nowMillis(): Long
 
-    /** Queues the exchange until an upstream can take it. */
+    /** Sends the exchange to an upstream, or queues it until an upstream can accept it. */
     fun enqueue(exchange: Exchange)
 
     /** Sends the exchange's next attempt. */
@@ -55,10 +56,10 @@
         attempt: Attempt,
     )
 
-    /** Takes one repeat from the budget of the route's pool. */
+    /** Takes one retry from the budget of the route's pool; returns false when the budget is exhausted. */
     fun tryRetry(exchange: Exchange): Boolean
 
-    /** Counts what an attempt showed of its upstream's version, and how long it took. */
+    /** Records the outcome and duration of an attempt for its upstream's version. */
     fun recordOutcome(
         exchange: Exchange,
         upstream: FleetUpstream,
@@ -66,16 +67,16 @@
         tookMillis: Long,
     )
 
-    /** Takes in that the exchange leaves its attempt, which has not ended. */
+    /** Handles that the exchange abandons its current attempt before a response is complete. */
     fun attemptAbandoned(exchange: Exchange)
 
-    /** Takes in an answer's head, for the model that gave it. */
+    /** Handles the head of a response, which carries the model's [confidence]. */
     fun responseStarted(
         exchange: Exchange,
         confidence: Int?,
     )
 
-    /** Returns the position of the model whose answer is to replace one of this [confidence], or null. */
+    /** Returns the index of the model whose response is to replace one of this [confidence], or null to keep it. */
     fun escalationModel(
         exchange: Exchange,
         confidence: Int?,
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/HeaderNames.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/HeaderNames.kt
@@ -1,28 +1,28 @@
 /*
- * The names of the headers by which callers, hosts and upstreams talk about a request. They belong to the platform that
- * a gateway serves, so its adapter hands them in.
+ * Names of the headers that callers, hosts and upstreams exchange about a request. They are specific to the platform
+ * that a gateway serves, so the platform's adapter supplies them.
  */
 package io.carawaytrack.gateway
 
 /**
- * Names the headers of requests and answers.
+ * Names of request and response headers.
  *
- * @property attemptId identifies one attempt of a caller; upstreams repeat it
- * @property deadlineMillis time that is left for an answer
- * @property expectedUpstream identifier of the upstream that is meant; any other one refuses
+ * @property attemptId identifies one attempt of a caller; upstreams echo it
+ * @property deadlineMillis time remaining for a response, in milliseconds
+ * @property expectedUpstream identifier of the intended upstream; any other upstream refuses the request
  * @property organisation name of the organisation, set by the gateway
- * @property model model that is to answer
- * @property tokenUsage prompt tokens and most generated tokens, separated by a comma
+ * @property model model that is to process the request
+ * @property tokenUsage number of prompt tokens and maximum number of generated tokens, separated by a comma
  * @property promptParts parts of the prompt in order, as `ID:TOKENS`
  * @property lengthHint the caller's estimate of the generated tokens
- * @property session names the session that a request belongs to
- * @property urgency urgency that engines go by, 0 first to 9
- * @property signature an upstream's signature over its answer
- * @property notExecuted present on an answer of an upstream that has not run the request
- * @property load running requests, waiting requests and slots of an upstream
- * @property coldMillis time for which an upstream stays cold
- * @property confidence an engine's own opinion of its answer, 0 to 100
- * @property reserved headers that only the gateway may set on a request; a caller's are dropped
+ * @property session session that the request belongs to
+ * @property urgency scheduling urgency used by engines, from 0 (most urgent) to 9
+ * @property signature an upstream's signature over its response
+ * @property notExecuted present on a response when the upstream has not executed the request
+ * @property load numbers of running requests, waiting requests and slots of an upstream
+ * @property coldMillis time for which an upstream remains cold, in milliseconds
+ * @property confidence an engine's confidence in its output, 0 to 100
+ * @property reserved headers that only the gateway may set on a request, in lower case; values sent by callers are dropped
  */
 public data class HeaderNames(
     val attemptId: String,
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/HttpEndpoint.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/HttpEndpoint.kt
@@ -1,6 +1,6 @@
 /*
- * A small HTTP server for whole requests and whole answers, on the gateway's event loop: what operators, upstreams,
- * health checks and metrics scrapers call.
+ * A small HTTP server for fully buffered requests and responses that runs on the gateway's event loop. It serves
+ * operators, upstreams, health checks and metrics scrapers.
  */
 package io.carawaytrack.gateway
 
@@ -26,10 +26,10 @@
 import io.netty.handler.codec.http.HttpUtil
 import io.netty.handler.codec.http.HttpVersion
 
-/** Largest body of a call, in bytes: an operator's largest document with room to spare. */
+/** Maximum size of a request body; it leaves a margin above the largest configuration document of an operator. */
 private const val MAX_BODY_BYTES = 8 * 1024 * 1024
 
-/** Holds a call; [path] has no query. */
+/** A request to an endpoint; [path] excludes the query. */
 public class EndpointRequest(
     public val method: String,
     public val path: String,
@@ -37,9 +37,9 @@
 )
 
 /**
- * Holds an answer to a call.
+ * The response to an [EndpointRequest].
  *
- * @property location address to call instead, for redirects
+ * @property location target of a redirect
  */
 public class EndpointResponse(
     public val status: Int,
@@ -48,7 +48,7 @@
     public val location: String? = null,
 )
 
-/** Serves [handle] on [address]; the handler answers at once or later, on the event loop. */
+/** Serves [handler] on [address]; the handler responds immediately or later, on the event loop. */
 public fun serveEndpoint(
     address: HostPort,
     group: EventLoopGroup,
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Placement.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Placement.kt
@@ -1,53 +1,54 @@
 /*
- * Where a request goes. The load it answers: tens of upstreams shared by tens of hosts; token streams whose prompts
- * share long parts that an engine keeps, and short calls on services with a few slots each.
+ * Selection of the upstream for a request. The expected load is tens of upstreams shared by tens of hosts, with two kinds
+ * of requests: token streams whose prompts share long parts that engines cache, and short calls to services with a few
+ * slots each.
  *
- * Every candidate gets a cost in milliseconds: the wait for its running and waiting requests, the reading of prompt
- * parts that it doesn't hold, and what the way to another availability zone costs. The request goes to the cheapest.
- * Requests about one subject have one home among the engines, on which all hosts agree without talking, so that its
- * parts are read once and not on every engine.
+ * Each candidate is assigned a cost in milliseconds: the wait for its running and queued requests, the prefill of prompt
+ * parts that it has not cached, and the transfer to another availability zone. The cheapest candidate is selected.
+ * Rendezvous hashing maps each shared prefix to one preferred engine. All hosts arrive at the same engine without
+ * coordination, so that the prefix is processed once and not on every engine.
  */
 package io.carawaytrack.gateway
 
 import com.dynatrace.hash4j.hashing.Hashing
 import io.carawaytrack.model.UpstreamId
 
-/** Cost of a request that finds every slot of an engine taken, in milliseconds; half as much at half the load. */
+/** Cost of a request on an engine whose slots are all in use; it is proportional to the load. */
 private const val FULL_ENGINE_MILLIS = 400.0
 
-/** Share of slots from which an engine's requests get in each other's way. */
+/** Share of used slots above which an engine's requests slow each other down. */
 private const val CONTENTION_RATIO = 0.8
 
-/** Cost of each further share of the slots beyond [CROWDED_SHARE], in milliseconds. */
+/** Additional cost above [CONTENTION_RATIO], for each multiple of the slots. */
 private const val CONTENTION_MILLIS = 4_000.0
 
-/** Cost of a token that has to be read, in milliseconds: the time it takes an engine, and the work others wait for. */
+/** Cost of the prefill of one token: the time that the engine needs, and the delay that this causes for other requests. */
 private const val PREFILL_TOKEN_MILLIS = 0.06
 
-/** Cost of a request of a few tens of milliseconds that waits for a slot of a service, for each request before it. */
+/** Cost of waiting for a service's slot, for each request ahead; such requests take a few tens of milliseconds. */
 private const val SERVICE_WAIT_MILLIS = 40.0
 
-/** Cost of an answer from another availability zone, in milliseconds: the way there and the bytes it takes. */
+/** Cost of a response from another availability zone: the network latency and the traffic. */
 private const val OTHER_ZONE_MILLIS = 14.0
 
-/** Cost of an upstream that failed all of its recent requests, in milliseconds. */
+/** Cost of an upstream that failed all of its recent requests. */
 private const val FAILING_MILLIS = 6_000.0
 
-/** Cost of an upstream whose announcements have stopped, in milliseconds for each second of silence beyond two. */
+/** Cost of an upstream whose announcement is overdue, for each second beyond [NORMAL_ANNOUNCEMENT_GAP_MILLIS]. */
 private const val OVERDUE_ANNOUNCEMENT_MILLIS_PER_SECOND = 300.0
 
-/** Silence that is usual between announcements, in milliseconds. */
+/** Longest normal interval between two announcements of an upstream. */
 private const val NORMAL_ANNOUNCEMENT_GAP_MILLIS = 2_200L
 
 private const val MILLIS_PER_SECOND = 1_000.0
 
 /**
- * Describes an upstream that may take a request.
+ * Describes an upstream that can be selected for a request.
  *
- * @property load requests that it has
- * @property heldParts identifiers of prompt parts that it holds
- * @property failureShare share of its recent requests that failed
- * @property silentMillis time since its last announcement
+ * @property load number of its running and queued requests
+ * @property cachedParts identifiers of the prompt parts that it has cached
+ * @property failureRatio share of its recent requests that failed, 0 to 1
+ * @property sinceAnnouncementMillis time since its last announcement
  */
 public data class Candidate(
     val id: UpstreamId,
@@ -60,7 +61,7 @@
     val sinceAnnouncementMillis: Long = 0,
 )
 
-/** Returns the cheapest of [candidates] for [demand], or null when there is none. */
+/** Returns the cheapest of [candidates] for [demand], or null when there are no candidates. */
 public fun selectCandidate(
     candidates: List<Candidate>,
     demand: PromptDemand,
@@ -70,7 +71,7 @@
     return candidates.minByOrNull { it.costMillis(demand, isPreferred = it.id == preferred) }
 }
 
-/** Returns the engine that all hosts take first for [subject], whatever else they know. */
+/** Returns the engine that all hosts prefer for [sharedPrefixId], independent of their own state. */
 private fun preferredEngine(
     sharedPrefixId: String,
     candidates: List<Candidate>,
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/PromptCacheEstimate.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/PromptCacheEstimate.kt
@@ -1,13 +1,14 @@
 /*
- * Which prompt parts an upstream is likely to hold still: those that it read for requests of this host a short while
- * ago. Parts that other hosts had read are not known here; requests about one subject meet at its home instead.
+ * Estimate of the prompt parts that an upstream has cached: those that it recently processed for requests from this
+ * host. Parts processed for other hosts are unknown here; instead, all hosts send requests with the same shared prefix
+ * to the same preferred engine.
  */
 package io.carawaytrack.gateway
 
-/** Time after its last use for which a part counts as held, in milliseconds: about the platform's window of reuse. */
+/** Time after its last use for which a part counts as cached: about the platform's reuse window. */
 private const val RETENTION_MILLIS = 10_000L
 
-/** Parts remembered for one upstream; the longest unused gives way. */
+/** Maximum number of parts tracked for each upstream; the least recently used part is evicted. */
 private const val MAX_PARTS = 512
 
 internal class PromptCacheEstimate(
@@ -18,7 +19,7 @@
             override fun removeEldestEntry(eldest: Map.Entry<String, Long>): Boolean = size > MAX_PARTS
         }
 
-    /** Notes that the shared parts of [demand] are read for [model]. */
+    /** Records that the shared parts of [demand] are processed for [model]. */
     fun recordRead(
         demand: PromptDemand,
         model: String,
@@ -27,7 +28,7 @@
         demand.sharedParts.forEach { usedAtMillis[it.id + '/' + model] = now }
     }
 
-    /** Returns which shared parts of [demand] are held for [model]. */
+    /** Returns the shared parts of [demand] that are presumably cached for [model]. */
     fun cachedPartsOf(
         demand: PromptDemand,
         model: String,
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/PromptParts.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/PromptParts.kt
@@ -1,33 +1,34 @@
 /*
- * What a request says of its prompt. Engines keep the parts that requests share, so a request is cheapest where its
- * parts are held already.
+ * Description of a request's prompt. Engines cache the parts that several requests share, so a request is cheapest on an
+ * engine that has its parts cached.
  */
 package io.carawaytrack.gateway
 
-/** Names a part of a prompt. */
+/** A part of a prompt. */
 public data class PromptPart(
     val id: String,
     val tokens: Int,
 )
 
 /**
- * Describes the work that a request asks of an engine.
+ * Describes the work that a request causes on an engine.
  *
- * @property parts parts of the prompt in order; the last one belongs to the request or its session alone
+ * @property outputTokens maximum number of generated tokens
+ * @property parts parts of the prompt in order; the last one is specific to the request or its session
  */
 public data class PromptDemand(
     val promptTokens: Int = 0,
     val outputTokens: Int = 0,
     val parts: List<PromptPart> = emptyList(),
 ) {
-    /** The parts that other requests may share. */
+    /** Parts that other requests may have in common with this one. */
     val sharedParts: List<PromptPart> get() = if (parts.size > 1) parts.subList(0, parts.size - 1) else emptyList()
 
-    /** The longest chain of shared parts, by which requests about one thing are recognised; null without any. */
+    /** Identifier of the longest shared prefix, which groups related requests; null when no part is shared. */
     val sharedPrefixId: String? get() = sharedParts.lastOrNull()?.id
 }
 
-/** Reads the values of the headers for token counts and prompt parts; what can't be read counts as absent. */
+/** Parses the headers for token counts and prompt parts; values that cannot be parsed count as absent. */
 internal fun parsePromptDemand(
     usage: String?,
     parts: String?,
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/RequestLog.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/RequestLog.kt
@@ -1,6 +1,6 @@
 /*
- * The log's lines on requests. Refusals, failures and repeats are always written, up to a bound for each second; of
- * ordinary requests a fixed share, drawn by their identifier so that every host writes of the same ones.
+ * Log events about requests. Refusals, failures and retries are always logged, up to a limit for each second. Ordinary
+ * requests are sampled by a hash of their identifier, so that every host logs the same requests.
  */
 package io.carawaytrack.gateway
 
@@ -10,10 +10,10 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** One in this many ordinary requests is written of. */
+/** One in this many ordinary requests is logged. */
 private const val SAMPLE_INTERVAL = 16
 
-/** Lines on requests that one second may bring: at a few hundred bytes each a small part of a thin host's link. */
+/** Limit on request log lines: at a few hundred bytes each, a small part of a slow host's network link. */
 private const val MAX_LINES_PER_SECOND = 150
 
 private const val MILLIS_PER_SECOND = 1_000L
@@ -24,7 +24,7 @@
     private var second = 0L
     private var lines = 0
 
-    /** Writes of [exchange], with what was known when it was decided on. */
+    /** Logs [event] for [exchange], with the state on which the decision was based. */
     fun write(
         event: String,
         exchange: Exchange,
@@ -48,7 +48,7 @@
         logEvent(event, common + detail)
     }
 
-    /** Returns whether the ordinary request [id] is written of. */
+    /** Returns whether the ordinary request [id] is part of the sample. */
     fun isSampled(id: String): Boolean = (unitHash(id) * SAMPLE_INTERVAL).toInt() == 0
 
     private fun mayWrite(): Boolean {
@@ -62,13 +62,13 @@
     }
 }
 
-/** Writes one line for [event] that concerns no single request. */
+/** Logs an [event] that is not specific to a request. */
 internal fun logEvent(
     event: String,
     fields: Map<String, Any?>,
 ): Unit = logger.event(event, fields)
 
-/** Writes of a [cause] that ended a connection of the given [side], unless the network brought it about. */
+/** Logs the [cause] that ended a connection of the given [side], unless it is a network error. */
 internal fun logUnexpected(
     side: String,
     cause: Throwable,
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/RetryBudgets.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/RetryBudgets.kt
@@ -1,6 +1,6 @@
 /*
- * How often a host may send a request to an upstream once more. All hosts together have one budget for each service;
- * each takes its part by its own requests, so that no host has to ask another.
+ * Limits on how often a host may send a request to an upstream again. All hosts share one budget for each service; each
+ * host draws a part in proportion to its own requests, so that the hosts need no coordination.
  */
 package io.carawaytrack.gateway
 
@@ -8,10 +8,13 @@
 import io.carawaytrack.limits.RetrySettings
 import io.carawaytrack.model.PoolName
 
-/** Part of the fleet's budget for repeats after failures. */
+/** Part of the fleet's budget that is reserved for retries after failures. */
 private const val FAILURE_RETRY_RATIO = 0.3
 
-/** Part of it for answers by a larger model; the rest covers the hosts' uneven shares of the requests. */
+/**
+ * Part of the fleet's budget that is reserved for escalations to a larger model. The remainder compensates for the uneven
+ * distribution of requests over the hosts.
+ */
 private const val ESCALATION_RATIO = 0.6
 
 internal class RetryBudgets(
@@ -26,16 +29,16 @@
 
     private val budgets = HashMap<PoolName, Budgets>()
 
-    /** Counts a request to [pool], when it arrives. */
+    /** Counts an arriving request to [pool]. */
     fun recordRequest(pool: PoolName) = budgetsOf(pool).let {
         it.retries.requested()
         it.escalations.requested()
     }
 
-    /** Takes one repeat after a failure; returns false when there is none. */
+    /** Takes one retry after a failure from the budget; returns false when the budget is exhausted. */
     fun tryRetry(pool: PoolName): Boolean = budgetsOf(pool).retries.tryRetry()
 
-    /** Takes one further answer by a larger model; returns false when there is none. */
+    /** Takes one escalation to a larger model from the budget; returns false when the budget is exhausted. */
     fun tryEscalation(pool: PoolName): Boolean = budgetsOf(pool).escalations.tryRetry()
 
     private fun budgetsOf(pool: PoolName) = budgets.getOrPut(pool) {
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/RolloutTracker.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/RolloutTracker.kt
@@ -1,5 +1,5 @@
 /*
- * This host's part in roll-outs: which requests the new version gets now, and what has been seen of both versions.
+ * This host's part in roll-outs: which requests are sent to the new version, and the outcomes observed for both versions.
  */
 package io.carawaytrack.gateway
 
@@ -10,7 +10,7 @@
 import io.carawaytrack.fleet.RouteTally
 import io.carawaytrack.fleet.shareAt
 
-/** An attempt that has not ended: on which route and version, and for how long. */
+/** An attempt that has not ended. */
 internal class OpenAttempt(
     val rollout: FleetRollout,
     val route: String,
@@ -32,20 +32,20 @@
 
         fun talliesOf(onNewVersion: Boolean) = if (onNewVersion) new else old
 
-        /** Returns whether [attempt] has taken longer than an ordinary answer, so that it tells something. */
+        /** Returns whether [attempt] already exceeds the old version's mean response time, which makes it significant. */
         fun isLate(attempt: OpenAttempt) = attempt.elapsedMillis > (old[attempt.route]?.meanMillis ?: 0.0)
     }
 
     private val tracked = HashMap<Long, TrackedRollout>()
 
-    /** Forgets roll-outs that are over and begins to watch new ones. */
+    /** Stops tracking roll-outs that have ended and starts tracking new ones. */
     fun update(rollouts: List<FleetRollout>) {
         val running = rollouts.filter { it.phase == FleetRolloutPhase.Running }.map { it.order }
         tracked.keys.retainAll(running.toSet())
         running.forEach { tracked.getOrPut(it) { TrackedRollout(nowMillis()) } }
     }
 
-    /** Returns whether [session] goes to the new version; one that does stays there. */
+    /** Returns whether [session] is assigned to the new version; an assigned session stays there. */
     fun usesNewVersion(
         rollout: FleetRollout,
         session: String,
@@ -54,7 +54,7 @@
         return unitHash(session) < rollout.shareAt(nowMillis() - sinceMillis, bounds)
     }
 
-    /** Counts an answer or a failure of [version]. */
+    /** Counts a response or a failure of [version]. */
     fun recordOutcome(
         rollout: FleetRollout,
         route: String,
@@ -67,13 +67,13 @@
         tallies.merge(route, outcome, RouteTally::plus)
     }
 
-    /** Counts an attempt that was left without an answer; one that was left early says nothing. */
+    /** Counts an attempt that was abandoned without a response; one abandoned early is not significant. */
     fun recordAbandoned(attempt: OpenAttempt) {
         val rollout = tracked[attempt.rollout.order]?.takeIf { it.isLate(attempt) } ?: return
         rollout.talliesOf(attempt.onNewVersion).merge(attempt.route, unfinished(attempt), RouteTally::plus)
     }
 
-    /** Returns what has been seen of each running roll-out, with those of [open] that take longer than usual. */
+    /** Returns the outcomes of each running roll-out, including the [open] attempts that take longer than usual. */
     fun tallies(open: List<OpenAttempt>): List<RolloutTally> = tracked.map { (order, rollout) ->
         val late = open.filter { it.rollout.order == order && rollout.isLate(it) }
         val (onNewVersion, onOldVersion) = late.partition { it.onNewVersion }
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamResponse.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamResponse.kt
@@ -1,5 +1,5 @@
 /*
- * What the head of an upstream's answer says: whether the request ran, and what became of it.
+ * Interpretation of the head of an upstream's response: whether the request was executed, and with what result.
  */
 package io.carawaytrack.gateway
 
@@ -7,15 +7,15 @@
 import io.netty.handler.codec.http.HttpResponseStatus
 import io.netty.handler.codec.http.HttpStatusClass
 
-/** Says why an upstream has not run a request. */
+/** Reasons for which an upstream has not executed a request. */
 internal enum class UpstreamRefusal {
-    /** Another upstream holds the address now. */
+    /** The address now belongs to another upstream. */
     AnotherUpstream,
 
-    /** It has no room. */
+    /** The upstream has no free capacity. */
     Full,
 
-    /** It rejects this request. */
+    /** The upstream rejects this particular request. */
     Rejected,
 }
 
@@ -23,10 +23,10 @@
 
 internal fun HttpResponse.isFailure(): Boolean = status().codeClass() == HttpStatusClass.SERVER_ERROR
 
-/** Returns whether the upstream has signed the answer. */
+/** Returns whether the response carries the upstream's signature. */
 internal fun HttpResponse.isSigned(headerNames: HeaderNames): Boolean = headers().contains(headerNames.signature)
 
-/** Returns why the upstream says that it has not run the request, or null when it doesn't say so. */
+/** Returns the reason that the upstream states for not executing the request, or null when it states none. */
 internal fun HttpResponse.refusal(headerNames: HeaderNames): UpstreamRefusal? {
     val status = status().code()
     val notExecuted = headers().contains(headerNames.notExecuted)
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/WaitQueue.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/WaitQueue.kt
@@ -1,18 +1,19 @@
 /*
- * Requests that no upstream can take at the moment, in the order in which they are to go on. The load it answers: more
- * requests than slots for some seconds, a burst, or a pool of which part has crashed. Urgent ones go first; of equally
- * urgent ones those that can still be on time, by arrival.
+ * Queue of requests that no upstream can accept at the moment. It absorbs several seconds of more requests than slots, a
+ * burst, or the crash of part of a pool. More urgent requests are dispatched first; among equally urgent requests, those
+ * that can still meet their latency target precede late ones, in order of arrival.
  */
 package io.carawaytrack.gateway
 
-/** Requests that may wait on one host; beyond it the least urgent ones are refused. */
+/** Maximum number of queued requests on one host; beyond it, the least urgent request is refused. */
 private const val MAX_QUEUED = 512
 
 /**
- * Describes a request that waits.
+ * Describes a queued request.
  *
- * @property onTimeUntilMillis when an answer is late
- * @property patienceMillis time for which waiting here still leaves an answer a chance
+ * @property rank urgency, 0 is the most urgent
+ * @property onTimeUntilMillis time after which a response misses the latency target
+ * @property maxWaitMillis maximum time in the queue after which a useful response can still be expected
  */
 internal interface QueuedRequest {
     val rank: Int
@@ -28,7 +29,7 @@
 
     val size: Int get() = queued.size
 
-    /** Adds [waiter] and returns those that have to go because the line is full. */
+    /** Adds [request] and returns the requests that are removed because the queue is full. */
     fun add(request: W): List<W> {
         queued += request
         if (queued.size <= MAX_QUEUED) return emptyList()
@@ -38,17 +39,17 @@
 
     fun remove(request: W): Boolean = queued.remove(request)
 
-    /** Hands the waiting requests to [take] in order and drops those that it takes. */
+    /** Passes the queued requests to [accept] in order and removes those that it accepts. */
     fun offer(accept: (W) -> Boolean) {
         if (queued.isEmpty()) return
         queued.sortWith(order(nowMillis()))
         val offered = queued.toList()
         queued.clear()
-        // A request that is taken may end at once and join the line again.
+        // An accepted request may fail at once and be queued again while the loop is running.
         offered.filterTo(ArrayList()) { !accept(it) }.let { queued.addAll(0, it) }
     }
 
-    /** Removes and returns the requests for which waiting longer is of no use. */
+    /** Removes and returns the requests that have reached their maximum wait. */
     fun expired(): List<W> {
         val now = nowMillis()
         val timedOut = queued.filter { now - it.arrivedAtMillis >= it.maxWaitMillis }
