--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/CallerConnections.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/CallerConnections.kt
@@ -268,7 +268,9 @@
             if (keepAlive) responseSent() else sent.addListener(ChannelFutureListener.CLOSE)
         }
 
-        /** Closes the connection during a response that cannot be completed, so that the caller sees it as truncated. */
+        /**
+         * Closes the connection during a response that cannot be completed, so that the caller sees it as truncated.
+         */
         fun abort() {
             listener = null
             channel.close()
@@ -341,6 +343,7 @@
             .setMaxChunkSize(MAX_CHUNK_BYTES),
     ) {
     override fun handleTransferEncodingChunkedWithContentLength(message: HttpMessage) {
-        message.decoderResult = DecoderResult.failure(IllegalArgumentException("expected Content-Length or a chunked body, got both"))
+        message.decoderResult =
+            DecoderResult.failure(IllegalArgumentException("expected Content-Length or a chunked body, got both"))
     }
 }
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/EventScanner.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/EventScanner.kt
@@ -1,7 +1,7 @@
 /*
- * Splits a server-sent event stream into complete events. An upstream may fail in the middle of an event whose remainder
- * then never arrives, so only complete events are forwarded to the caller. The identifier of the last one is the point
- * from which another upstream has to resume.
+ * Splits a server-sent event stream into complete events. An upstream may fail in the middle of an event whose
+ * remainder then never arrives, so only complete events are forwarded to the caller. The identifier of the last one is
+ * the point from which another upstream has to resume.
  */
 package io.carawaytrack.gateway
 
@@ -34,7 +34,9 @@
     /** Whether no incomplete event is buffered. */
     val isAtBoundary: Boolean get() = !partial.isReadable
 
-    /** Appends [bytes], which it releases, and returns the events that are now complete, to be released by the caller. */
+    /**
+     * Appends [bytes], which it releases, and returns the events that are now complete, to be released by the caller.
+     */
     fun append(
         bytes: ByteBuf,
         allocator: ByteBufAllocator,
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Exchange.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Exchange.kt
@@ -1,7 +1,7 @@
 /*
- * One request from its arrival to the last byte of its response. An exchange knows for each attempt whether the upstream
- * may have executed the request. This alone determines whether another attempt is allowed and which status the caller may
- * receive.
+ * One request from its arrival to the last byte of its response. An exchange knows for each attempt whether the
+ * upstream may have executed the request. This alone determines whether another attempt is allowed and which status the
+ * caller may receive.
  */
 package io.carawaytrack.gateway
 
@@ -19,13 +19,17 @@
 /** Minimum time without stream content that is attributed to the upstream without any other indication. */
 private const val DEAD_STREAM_MILLIS = 3_000L
 
-/** Part of the latency target that may pass without stream content before an upstream suspected unhealthy is abandoned. */
+/**
+ * Part of the latency target that may pass without stream content before an upstream suspected unhealthy is abandoned.
+ */
 private const val FIRST_EVENT_RATIO = 0.45
 
 /** Minimum time before the deadline for another attempt; with less, a response cannot arrive in time. */
 private const val MIN_REMAINING_MILLIS = 20L
 
-/** Time without a response after which the first attempt of a service call is retried, relative to the latency target. */
+/**
+ * Time without a response after which the first attempt of a service call is retried, relative to the latency target.
+ */
 private const val RETRY_AFTER_TARGET_RATIO = 1.2
 
 /** Divisor of the latency target that yields a stream's maximum wait for an upstream with free capacity. */
@@ -143,7 +147,13 @@
         context.attemptAbandoned(this)
         releaseAttempt(cancel = true)
         val kind = if (hasNotRun) ErrorKind.PoolExhausted else ErrorKind.UpstreamTimeout
-        fail(Failure(kind, execution, "no complete response within ${request.deadlineAtMillis - request.arrivedAtMillis} ms"))
+        fail(
+            Failure(
+                kind,
+                execution,
+                "no complete response within ${request.deadlineAtMillis - request.arrivedAtMillis} ms",
+            ),
+        )
     }
 
     private fun isStalled(now: Long): Boolean {
@@ -186,7 +196,9 @@
         if (relay.isStream(response) && !relay.started) context.escalationModel(this, confidence)?.let(::escalateTo)
     }
 
-    /** Discards a response, of which the caller has received nothing, and requests one from the larger model [index]. */
+    /**
+     * Discards a response, of which the caller has received nothing, and requests one from the larger model [index].
+     */
     private fun escalateTo(index: Int) {
         releaseAttempt(cancel = true)
         modelIndex = index
@@ -255,7 +267,13 @@
         when {
             callerDisconnected -> abandon()
             refusal == UpstreamRefusal.Rejected && attempts >= MAX_REJECTIONS ->
-                fail(Failure(ErrorKind.NoHealthyUpstream, execution, "upstreams rejected the request; gave up after $attempts attempts"))
+                fail(
+                    Failure(
+                        ErrorKind.NoHealthyUpstream,
+                        execution,
+                        "upstreams rejected the request; gave up after $attempts attempts",
+                    ),
+                )
             else -> waitForUpstream()
         }
     }
@@ -277,7 +295,14 @@
         when {
             callerDisconnected -> abandon()
             neverSent || tryRetry() -> waitForUpstream()
-            else -> fail(Failure(ErrorKind.UpstreamFailed, execution, "the upstream connection failed before a complete response: $end"))
+            else ->
+                fail(
+                    Failure(
+                        ErrorKind.UpstreamFailed,
+                        execution,
+                        "the upstream connection failed before a complete response: $end",
+                    ),
+                )
         }
     }
 
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/ExchangeContext.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/ExchangeContext.kt
@@ -1,6 +1,6 @@
 /*
- * Interface between an exchange and its gateway: the operations that an exchange requests, and the events and the outcome
- * that it reports.
+ * Interface between an exchange and its gateway: the operations that an exchange requests, and the events and the
+ * outcome that it reports.
  */
 package io.carawaytrack.gateway
 
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Gateway.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Gateway.kt
@@ -1,6 +1,6 @@
 /*
- * The gateway of one host between callers and upstreams: it matches requests against the routing tables, dispatches them,
- * and tracks the state of the upstreams. All of it runs on one event loop, so no state is shared between threads.
+ * The gateway of one host between callers and upstreams: it matches requests against the routing tables, dispatches
+ * them, and tracks the state of the upstreams. All of it runs on one event loop, so no state is shared between threads.
  */
 package io.carawaytrack.gateway
 
@@ -116,8 +116,8 @@
     public fun tick()
 
     /**
-     * Starts a graceful shutdown: new connections are no longer accepted, idle ones are closed, the others are closed after
-     * their current response, and new streams are refused because they might not end in time.
+     * Starts a graceful shutdown: new connections are no longer accepted, idle ones are closed, the others are closed
+     * after their current response, and new streams are refused because they might not end in time.
      */
     public fun drain()
 }
@@ -226,7 +226,9 @@
         }
     }
 
-    /** Selects a pool by weight from a hash of the request's [id], so that all hosts select the same pool for a request. */
+    /**
+     * Selects a pool by weight from a hash of the request's [id], so that all hosts select the same pool for a request.
+     */
     private fun choosePool(
         route: CatalogRoute,
         id: String,
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/HeaderNames.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/HeaderNames.kt
@@ -22,7 +22,8 @@
  * @property load numbers of running requests, waiting requests and slots of an upstream
  * @property coldMillis time for which an upstream remains cold, in milliseconds
  * @property confidence an engine's confidence in its output, 0 to 100
- * @property reserved headers that only the gateway may set on a request, in lower case; values sent by callers are dropped
+ * @property reserved headers that only the gateway may set on a request, in lower case; values sent by callers are
+ *   dropped
  */
 public data class HeaderNames(
     val attemptId: String,
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/ModelPolicy.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/ModelPolicy.kt
@@ -3,9 +3,9 @@
  * factor of ten or more; the smallest one answers about six in ten requests well, the largest one nearly all. The head
  * of a response carries the model's rough confidence before the caller has received anything.
  *
- * The smallest model is tried first as long as discarding its low-confidence responses is cheaper than using the largest
- * model at once. A response is replaced by one of the largest model when its confidence is too low for the cost of a
- * second response.
+ * The smallest model is tried first as long as discarding its low-confidence responses is cheaper than using the
+ * largest model at once. A response is replaced by one of the largest model when its confidence is too low for the cost
+ * of a second response.
  *
  * When the engines are overloaded, responses of the largest model are late whatever their quality, and each further
  * request to it delays the others. In that case the response of the smallest model is used as it is.
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Placement.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Placement.kt
@@ -1,12 +1,12 @@
 /*
- * Selection of the upstream for a request. The expected load is tens of upstreams shared by tens of hosts, with two kinds
- * of requests: token streams whose prompts share long parts that engines cache, and short calls to services with a few
- * slots each.
+ * Selection of the upstream for a request. The expected load is tens of upstreams shared by tens of hosts, with two
+ * kinds of requests: token streams whose prompts share long parts that engines cache, and short calls to services with
+ * a few slots each.
  *
- * Each candidate is assigned a cost in milliseconds: the wait for its running and queued requests, the prefill of prompt
- * parts that it has not cached, and the transfer to another availability zone. The cheapest candidate is selected.
- * Rendezvous hashing maps each shared prefix to one preferred engine. All hosts arrive at the same engine without
- * coordination, so that the prefix is processed once and not on every engine.
+ * Each candidate is assigned a cost in milliseconds: the wait for its running and queued requests, the prefill of
+ * prompt parts that it has not cached, and the transfer to another availability zone. The cheapest candidate is
+ * selected. Rendezvous hashing maps each shared prefix to one preferred engine. All hosts arrive at the same engine
+ * without coordination, so that the prefix is processed once and not on every engine.
  */
 package io.carawaytrack.gateway
 
@@ -22,7 +22,9 @@
 /** Additional cost above [CONTENTION_RATIO], for each multiple of the slots. */
 private const val CONTENTION_MILLIS = 4_000.0
 
-/** Cost of the prefill of one token: the time that the engine needs, and the delay that this causes for other requests. */
+/**
+ * Cost of the prefill of one token: the time that the engine needs, and the delay that this causes for other requests.
+ */
 private const val PREFILL_TOKEN_MILLIS = 0.06
 
 /** Cost of waiting for a service's slot, for each request ahead; such requests take a few tens of milliseconds. */
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/PromptParts.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/PromptParts.kt
@@ -1,6 +1,6 @@
 /*
- * Description of a request's prompt. Engines cache the parts that several requests share, so a request is cheapest on an
- * engine that has its parts cached.
+ * Description of a request's prompt. Engines cache the parts that several requests share, so a request is cheapest on
+ * an engine that has its parts cached.
  */
 package io.carawaytrack.gateway
 
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/ResponseRelay.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/ResponseRelay.kt
@@ -1,7 +1,7 @@
 /*
  * Relays a response from its upstreams to the caller. A plain response is buffered until it is complete, so that a
- * truncated one can still be replaced. A stream is forwarded event by event and may resume on another upstream under the
- * response head of the first one.
+ * truncated one can still be replaced. A stream is forwarded event by event and may resume on another upstream under
+ * the response head of the first one.
  */
 package io.carawaytrack.gateway
 
@@ -111,7 +111,9 @@
         scanner?.discardPartial()
     }
 
-    /** Ends the response with [reply], or by closing the connection if the caller has already received a response head. */
+    /**
+     * Ends the response with [reply], or by closing the connection if the caller has already received a response head.
+     */
     fun endWith(reply: LocalReply) {
         if (started) {
             reply.content.release()
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/RetryBudgets.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/RetryBudgets.kt
@@ -12,8 +12,8 @@
 private const val FAILURE_RETRY_RATIO = 0.3
 
 /**
- * Part of the fleet's budget that is reserved for escalations to a larger model. The remainder compensates for the uneven
- * distribution of requests over the hosts.
+ * Part of the fleet's budget that is reserved for escalations to a larger model. The remainder compensates for the
+ * uneven distribution of requests over the hosts.
  */
 private const val ESCALATION_RATIO = 0.6
 
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/RolloutTracker.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/RolloutTracker.kt
@@ -1,5 +1,6 @@
 /*
- * This host's part in roll-outs: which requests are sent to the new version, and the outcomes observed for both versions.
+ * This host's part in roll-outs: which requests are sent to the new version, and the outcomes observed for both
+ * versions.
  */
 package io.carawaytrack.gateway
 
@@ -32,7 +33,9 @@
 
         fun talliesOf(onNewVersion: Boolean) = if (onNewVersion) new else old
 
-        /** Returns whether [attempt] already exceeds the old version's mean response time, which makes it significant. */
+        /**
+         * Returns whether [attempt] already exceeds the old version's mean response time, which makes it significant.
+         */
         fun isLate(attempt: OpenAttempt) = attempt.elapsedMillis > (old[attempt.route]?.meanMillis ?: 0.0)
     }
 
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamConnections.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamConnections.kt
@@ -1,7 +1,7 @@
 /*
  * Connections to upstreams. A connection processes one request at a time and is reused only after a response that ended
- * as declared by its framing. The outcome of an attempt is reported precisely: whether any byte of it may have been sent,
- * whether the response is complete, and whether unexpected data arrived.
+ * as declared by its framing. The outcome of an attempt is reported precisely: whether any byte of it may have been
+ * sent, whether the response is complete, and whether unexpected data arrived.
  */
 package io.carawaytrack.gateway
 
@@ -122,8 +122,8 @@
     private val idle = HashMap<HostPort, ArrayDeque<UpstreamConnection>>()
 
     /**
-     * Sends [attempt] to [address] on an idle connection if there is one. A [nonRetryable] attempt only uses one that has
-     * been idle for a short time, because the upstream might close it concurrently.
+     * Sends [attempt] to [address] on an idle connection if there is one. A [nonRetryable] attempt only uses one that
+     * has been idle for a short time, because the upstream might close it concurrently.
      */
     fun send(
         address: HostPort,
@@ -245,7 +245,7 @@
             val current = attempt
             when {
                 current == null || current.ended -> {
-                    // Surplus data after a response or after a cancelled attempt: the connection cannot be reused safely.
+                    // Surplus data after a response or a cancelled attempt: the connection cannot be reused safely.
                     ReferenceCountUtil.release(message)
                     channel.close()
                 }
@@ -309,7 +309,7 @@
         }
 
         private fun responseComplete(current: Attempt) {
-            // A response without a length is delimited by the end of the connection, so a reset means that it is truncated.
+            // A response without a length ends with the connection, so a reset means that it is truncated.
             if (broken) return
             attempt = null
             current.end()
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamState.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamState.kt
@@ -1,7 +1,7 @@
 /*
- * State of one upstream on this host beyond its announcements: this host's own requests, the load reported in responses,
- * and whether it responds at all. Load reports are outdated when they arrive, and other hosts receive the same ones, so
- * this host adds the requests that it has started and ended since the last report.
+ * State of one upstream on this host beyond its announcements: this host's own requests, the load reported in
+ * responses, and whether it responds at all. Load reports are outdated when they arrive, and other hosts receive the
+ * same ones, so this host adds the requests that it has started and ended since the last report.
  */
 package io.carawaytrack.gateway
 
@@ -106,8 +106,8 @@
     }
 
     /**
-     * Takes a token for a request to a cold upstream from this host's bucket, which is refilled at a rate of [perSecond];
-     * returns false when the bucket is empty.
+     * Takes a token for a request to a cold upstream from this host's bucket, which is refilled at a rate of
+     * [perSecond]; returns false when the bucket is empty.
      */
     fun tryColdStart(perSecond: Double): Boolean {
         val now = nowMillis()
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/WaitQueue.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/WaitQueue.kt
@@ -1,7 +1,7 @@
 /*
- * Queue of requests that no upstream can accept at the moment. It absorbs several seconds of more requests than slots, a
- * burst, or the crash of part of a pool. More urgent requests are dispatched first; among equally urgent requests, those
- * that can still meet their latency target precede late ones, in order of arrival.
+ * Queue of requests that no upstream can accept at the moment. It absorbs several seconds of more requests than slots,
+ * a burst, or the crash of part of a pool. More urgent requests are dispatched first; among equally urgent requests,
+ * those that can still meet their latency target precede late ones, in order of arrival.
  */
 package io.carawaytrack.gateway
 
