--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Exchange.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Exchange.kt
@@ -183,7 +183,7 @@
         waitForUpstream()
     }
 
-    override fun head(response: HttpResponse) {
+    override fun onHead(response: HttpResponse) {
         val upstream = target ?: return
         upstream.bytesReceived()
         val headers = response.headers()
@@ -205,25 +205,25 @@
         waitForUpstream()
     }
 
-    override fun content(bytes: ByteBuf) {
+    override fun onContent(bytes: ByteBuf) {
         val head = response
         lastContentAtMillis = context.nowMillis()
         target?.bytesReceived()
         if (head == null || phase != ExchangePhase.Sent) {
             bytes.release()
         } else if (!relay.receiveContent(head, bytes)) {
-            failed(AttemptEnd.Broken)
+            onFailed(AttemptEnd.Broken)
         }
     }
 
-    override fun flush() = relay.flush()
+    override fun onReadComplete() = relay.flush()
 
-    override fun complete() {
-        val head = response ?: return failed(AttemptEnd.Broken)
+    override fun onComplete() {
+        val head = response ?: return onFailed(AttemptEnd.Broken)
         val refusal = head.refusal(context.headerNames)
         when {
             refusal != null -> refusedByUpstream(head, refusal)
-            !relay.isComplete(head) -> failed(AttemptEnd.Broken)
+            !relay.isComplete(head) -> onFailed(AttemptEnd.Broken)
             head.isFailure() && !relay.started && tryRetry() -> failedByUpstream(head)
             else -> finish(head)
         }
@@ -278,7 +278,7 @@
         }
     }
 
-    override fun failed(end: AttemptEnd) {
+    override fun onFailed(end: AttemptEnd) {
         val upstream = target
         if (phase == ExchangePhase.Ended || upstream == null) return
         val neverSent = end == AttemptEnd.NotConnected
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamConnections.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamConnections.kt
@@ -68,19 +68,19 @@
 /** Receives the events of one attempt; all calls are made on the event loop. */
 internal interface AttemptListener {
     /** Handles the head of a response that carries the attempt's identifier or none. */
-    fun head(response: HttpResponse)
+    fun onHead(response: HttpResponse)
 
     /** Handles a part of the body, which the listener must release. */
-    fun content(bytes: ByteBuf)
+    fun onContent(bytes: ByteBuf)
 
     /** Handles the end of a complete response. */
-    fun complete()
+    fun onComplete()
 
     /** Handles the end of the attempt without a complete response; no further calls follow. */
-    fun failed(end: AttemptEnd)
+    fun onFailed(end: AttemptEnd)
 
     /** Called when all data available in one read has been passed to the listener. */
-    fun flush()
+    fun onReadComplete()
 }
 
 /** An attempt in progress; [cancel] closes its connection, which causes the upstream to cancel the request. */
@@ -186,7 +186,7 @@
         attempt.request.release()
         if (attempt.ended) return
         attempt.end()
-        attempt.listener.failed(AttemptEnd.NotConnected)
+        attempt.listener.onFailed(AttemptEnd.NotConnected)
     }
 
     private fun initializer(connection: UpstreamConnection) = object : ChannelInitializer<SocketChannel>() {
@@ -285,7 +285,7 @@
             response = head
             reusable = reusable && HttpUtil.isKeepAlive(head) && isFramed(head)
             head.headers()[KEEP_ALIVE]?.let { keepAliveMillis = keepAliveMillis(it) }
-            current.listener.head(head)
+            current.listener.onHead(head)
         }
 
         private fun isFramed(head: HttpResponse) =
@@ -304,7 +304,7 @@
                 channel.close()
                 return
             }
-            if (content.content().isReadable) current.listener.content(content.content()) else content.release()
+            if (content.content().isReadable) current.listener.onContent(content.content()) else content.release()
             if (content is LastHttpContent && !current.ended) responseComplete(current)
         }
 
@@ -314,7 +314,7 @@
             attempt = null
             current.end()
             if (reusable && written && channel.isActive) becomeIdle() else channel.close()
-            current.listener.complete()
+            current.listener.onComplete()
         }
 
         private fun becomeIdle() {
@@ -324,7 +324,7 @@
         }
 
         override fun channelReadComplete(context: ChannelHandlerContext) {
-            attempt?.takeIf { !it.ended }?.listener?.flush()
+            attempt?.takeIf { !it.ended }?.listener?.onReadComplete()
         }
 
         override fun channelInactive(context: ChannelHandlerContext) {
@@ -333,7 +333,7 @@
             attempt = null
             if (current.ended) return
             current.end()
-            current.listener.failed(if (reused && !received) AttemptEnd.ClosedUnanswered else AttemptEnd.Broken)
+            current.listener.onFailed(if (reused && !received) AttemptEnd.ClosedUnanswered else AttemptEnd.Broken)
         }
 
         @Deprecated("Netty's own signature")
--- a/gateway/src/test/kotlin/io/carawaytrack/gateway/GatewayTest.kt
+++ b/gateway/src/test/kotlin/io/carawaytrack/gateway/GatewayTest.kt
@@ -354,7 +354,7 @@
     }
 
     @Test
-    fun `a request without a response by its deadline is answered with a timeout`() {
+    fun `a request without a response by its deadline gets a timeout response`() {
         serve({ _, _, socket -> socket.getInputStream().read() >= 0 })
         val response = exchange(request("/pay/x", deadlineMillis = 300))
         expectThat(response?.start?.substring(9, 12)).isEqualTo("504")
