--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/CallerConnections.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/CallerConnections.kt
@@ -66,10 +66,10 @@
 
 /** Receives events of the caller while its request is processed. */
 internal interface CallerListener {
-    /** Called when the caller has closed its connection. */
+    /** Handles the closing of the connection by the caller. */
     fun onCallerDisconnected()
 
-    /** Called when the caller's connection becomes [writable] or unwritable because the caller reads too slowly. */
+    /** Handles a change of the connection to [writable], or to unwritable because the caller reads too slowly. */
     fun onCallerWritable(writable: Boolean)
 }
 
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamConnections.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamConnections.kt
@@ -79,7 +79,7 @@
     /** Handles the end of the attempt without a complete response; no further calls follow. */
     fun onFailed(end: AttemptEnd)
 
-    /** Called when all data available in one read has been passed to the listener. */
+    /** Handles the end of a batch of data that arrived in one read. */
     fun onReadComplete()
 }
 
