--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/CallerConnections.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/CallerConnections.kt
@@ -1,7 +1,7 @@
 /*
- * Connections of callers. Each carries one request after another; what a caller sends ahead waits until its turn. A
- * request is handed on once it has been read whole, and the end of its connection is told at once, also while an answer
- * is awaited.
+ * Connections from callers. Each connection processes one request at a time; pipelined messages are buffered until the
+ * current response is complete. A request is dispatched once it has been read completely. The end of its connection is
+ * reported immediately, also while a response is awaited.
  */
 package io.carawaytrack.gateway
 
@@ -46,13 +46,17 @@
 private const val MAX_LINE_BYTES = 8_192
 private const val MAX_CHUNK_BYTES = 65_536
 
-/** Messages that a caller may send ahead while an answer is awaited. */
-private const val MAX_SENT_AHEAD = 256
+/** Maximum number of messages that a caller may pipeline while a response is awaited. */
+private const val MAX_PIPELINED_MESSAGES = 256
 
-/** Bytes waiting for a slow caller from which its upstream is read no further, and at which it is read again. */
+/** Unsent bytes for a slow caller at which reading from its upstream resumes (low) and pauses (high). */
 private val waterMark = WriteBufferWaterMark(64 * 1024, 256 * 1024)
 
-/** Takes requests, and the ends of the connections that they came on. */
+/**
+ * Receives requests and supplies the state that connections depend on.
+ *
+ * @property malformed called for a request that is rejected with the given status before it is matched to a route
+ */
 internal class CallerEvents(
     val request: (HttpRequest, ByteBuf, CallerConnection) -> Unit,
     val malformed: (CallerConnection, HttpResponseStatus) -> Unit,
@@ -60,13 +64,13 @@
     val draining: () -> Boolean,
 )
 
-/** Hears of the caller of a request that is being answered. */
+/** Receives events of the caller while its request is processed. */
 internal interface CallerListener {
-    /** Tells that the caller has closed its connection. */
-    fun callerGone()
+    /** Handles the closing of the connection by the caller. */
+    fun onCallerDisconnected()
 
-    /** Tells whether the caller reads as fast as it is sent to. */
-    fun callerWritable(writable: Boolean)
+    /** Handles a change of the connection to [writable], or to unwritable because the caller reads too slowly. */
+    fun onCallerWritable(writable: Boolean)
 }
 
 internal class CallerConnections(
@@ -96,25 +100,25 @@
         .syncUninterruptibly()
         .channel()
 
-    /** Closes connections that have been idle, or busy with one request's head or body, for too long. */
+    /** Closes connections that have been idle, or receiving one request, for longer than the idle timeout. */
     fun prune() = open.toList().forEach { it.prune(nowMillis(), events.limits()) }
 
-    /** Closes the connections that carry no request. */
+    /** Closes the connections without a request in progress. */
     fun closeIdle() = open.toList().forEach { it.closeIfIdle() }
 
     internal class CallerConnection(
         val channel: Channel,
         private val owner: CallerConnections,
     ) : ChannelInboundHandlerAdapter() {
-        private val ahead = ArrayDeque<Any>()
+        private val pipelined = ArrayDeque<Any>()
         private var head: HttpRequest? = null
         private var body: CompositeByteBuf? = null
         private var listener: CallerListener? = null
-        private var answering = false
+        private var responding = false
         private var chunked = true
         private var keepAlive = true
-        private var sinceMillis = owner.nowMillis()
-        private var started = false
+        private var phaseSinceMillis = owner.nowMillis()
+        private var receiving = false
 
         override fun channelActive(context: ChannelHandlerContext) {
             owner.open += this
@@ -124,28 +128,28 @@
             context: ChannelHandlerContext,
             message: Any,
         ) {
-            if (!answering) return read(message)
-            ahead.addLast(message)
-            if (ahead.size > MAX_SENT_AHEAD) channel.close()
+            if (!responding) return read(message)
+            pipelined.addLast(message)
+            if (pipelined.size > MAX_PIPELINED_MESSAGES) channel.close()
         }
 
         private fun read(message: Any) {
             if (message is HttpRequest) {
-                if (!begin(message)) {
+                if (!beginRequest(message)) {
                     ReferenceCountUtil.release(message)
                     return
                 }
             }
-            if (message is HttpContent) take(message)
+            if (message is HttpContent) receiveContent(message)
         }
 
-        private fun begin(request: HttpRequest): Boolean {
+        private fun beginRequest(request: HttpRequest): Boolean {
             head = null
-            sinceMillis = owner.nowMillis()
-            started = true
-            val refusal = refusalOf(request)
-            if (refusal != null) {
-                refuse(refusal)
+            phaseSinceMillis = owner.nowMillis()
+            receiving = true
+            val rejectionStatus = rejectionStatusOf(request)
+            if (rejectionStatus != null) {
+                reject(rejectionStatus)
                 return false
             }
             if (HttpUtil.is100ContinueExpected(request)) sendContinue()
@@ -159,7 +163,7 @@
             channel.writeAndFlush(interim)
         }
 
-        private fun refusalOf(request: HttpRequest): HttpResponseStatus? {
+        private fun rejectionStatusOf(request: HttpRequest): HttpResponseStatus? {
             val failed = request.decoderResult().takeIf { it.isFailure }
             val headers = request.headers()
             return when {
@@ -171,31 +175,31 @@
             }
         }
 
-        /** Returns whether two readers might see the end of the body in different places, or two hosts. */
+        /** Returns whether two parsers might disagree on the end of the body or on the host (request smuggling). */
         private fun isAmbiguous(headers: HttpHeaders): Boolean {
             val codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING)
             val unknownCoding = codings.isNotEmpty() && !codings.single().equals("chunked", ignoreCase = true)
-            val both = codings.isNotEmpty() && headers.contains(HttpHeaderNames.CONTENT_LENGTH)
-            return codings.size > 1 || unknownCoding || both || headers.getAll(HttpHeaderNames.HOST).size > 1
+            val lengthAndCoding = codings.isNotEmpty() && headers.contains(HttpHeaderNames.CONTENT_LENGTH)
+            return codings.size > 1 || unknownCoding || lengthAndCoding || headers.getAll(HttpHeaderNames.HOST).size > 1
         }
 
-        private fun take(content: HttpContent) {
+        private fun receiveContent(content: HttpContent) {
             val request = head
             if (request == null || content.decoderResult().isFailure) {
                 content.release()
-                if (request != null) refuse(HttpResponseStatus.BAD_REQUEST)
+                if (request != null) reject(HttpResponseStatus.BAD_REQUEST)
                 return
             }
-            if (!append(content)) return refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE)
+            if (!append(content)) return reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE)
             if (content !is LastHttpContent) return
-            val whole = body ?: Unpooled.EMPTY_BUFFER
+            val fullBody = body ?: Unpooled.EMPTY_BUFFER
             body = null
             head = null
-            answering = true
-            started = false
+            responding = true
+            receiving = false
             keepAlive = HttpUtil.isKeepAlive(request)
             chunked = request.protocolVersion() == HttpVersion.HTTP_1_1
-            owner.events.request(request, whole, this)
+            owner.events.request(request, fullBody, this)
         }
 
         private fun append(content: HttpContent): Boolean {
@@ -204,25 +208,25 @@
                 content.release()
                 return true
             }
-            val whole = body ?: channel.alloc().compositeBuffer(MAX_BODY_PARTS).also { body = it }
-            whole.addComponent(true, bytes)
-            return whole.readableBytes() <= owner.events.limits().maxBodyBytes
+            val fullBody = body ?: channel.alloc().compositeBuffer(MAX_BODY_PARTS).also { body = it }
+            fullBody.addComponent(true, bytes)
+            return fullBody.readableBytes() <= owner.events.limits().maxBodyBytes
         }
 
-        private fun refuse(status: HttpResponseStatus) {
+        private fun reject(status: HttpResponseStatus) {
             head = null
-            answering = true
+            responding = true
             keepAlive = false
             owner.events.malformed(this, status)
         }
 
-        /** Names who hears of the caller while its request is answered. */
-        fun listenWith(next: CallerListener) {
-            listener = next
+        /** Sets the listener that is notified of the caller's events until the response is complete. */
+        fun setListener(newListener: CallerListener) {
+            listener = newListener
         }
 
-        /** Sends a whole answer, whose body it releases. */
-        fun answer(
+        /** Sends a complete response and releases its body. */
+        fun respond(
             status: HttpResponseStatus,
             headers: HttpHeaders,
             content: ByteBuf,
@@ -232,11 +236,11 @@
             HttpUtil.setContentLength(response, content.readableBytes().toLong())
             setConnection(headers)
             val sent = channel.writeAndFlush(response)
-            if (keepAlive) answered() else sent.addListener(ChannelFutureListener.CLOSE)
+            if (keepAlive) responseSent() else sent.addListener(ChannelFutureListener.CLOSE)
         }
 
-        /** Begins an answer whose length isn't known. */
-        fun begin(
+        /** Starts a response of unknown length. */
+        fun startResponse(
             status: HttpResponseStatus,
             headers: HttpHeaders,
         ) {
@@ -249,7 +253,7 @@
             channel.write(DefaultHttpResponse(HttpVersion.HTTP_1_1, status, headers))
         }
 
-        /** Sends a part of the body, which it releases; it leaves with the next [flush]. */
+        /** Writes a part of the body and releases it; it is sent with the next [flush]. */
         fun write(content: ByteBuf) {
             channel.write(DefaultHttpContent(content), channel.voidPromise())
         }
@@ -258,13 +262,15 @@
             channel.flush()
         }
 
-        /** Ends an answer that is complete. */
+        /** Ends a complete response. */
         fun finish() {
             val sent = channel.writeAndFlush(DefaultLastHttpContent.EMPTY_LAST_CONTENT)
-            if (keepAlive) answered() else sent.addListener(ChannelFutureListener.CLOSE)
+            if (keepAlive) responseSent() else sent.addListener(ChannelFutureListener.CLOSE)
         }
 
-        /** Ends an answer that can't be completed, so that it doesn't look complete. */
+        /**
+         * Closes the connection during a response that cannot be completed, so that the caller sees it as truncated.
+         */
         fun abort() {
             listener = null
             channel.close()
@@ -275,38 +281,38 @@
             if (!keepAlive) headers[HttpHeaderNames.CONNECTION] = HttpHeaderValues.CLOSE
         }
 
-        private fun answered() {
+        private fun responseSent() {
             listener = null
-            answering = false
-            sinceMillis = owner.nowMillis()
-            while (!answering && ahead.isNotEmpty()) read(ahead.removeFirst())
+            responding = false
+            phaseSinceMillis = owner.nowMillis()
+            while (!responding && pipelined.isNotEmpty()) read(pipelined.removeFirst())
         }
 
         fun prune(
             now: Long,
             limits: CallerLimits,
         ) {
-            if (answering) return
-            if (now - sinceMillis > limits.idleTimeoutMillis) channel.close()
+            if (responding) return
+            if (now - phaseSinceMillis > limits.idleTimeoutMillis) channel.close()
         }
 
         fun closeIfIdle() {
-            if (!answering && !started) channel.close()
+            if (!responding && !receiving) channel.close()
         }
 
         override fun channelWritabilityChanged(context: ChannelHandlerContext) {
-            listener?.callerWritable(channel.isWritable)
+            listener?.onCallerWritable(channel.isWritable)
         }
 
         override fun channelInactive(context: ChannelHandlerContext) {
             owner.open -= this
-            ahead.forEach(ReferenceCountUtil::release)
-            ahead.clear()
+            pipelined.forEach(ReferenceCountUtil::release)
+            pipelined.clear()
             body?.release()
             body = null
-            val left = listener
+            val lastListener = listener
             listener = null
-            left?.callerGone()
+            lastListener?.onCallerDisconnected()
         }
 
         @Deprecated("Netty's own signature")
@@ -320,14 +326,14 @@
     }
 
     private companion object {
-        /** Parts of a body beyond which they are copied into one. */
+        /** Number of body components beyond which they are consolidated into one. */
         const val MAX_BODY_PARTS = 64
     }
 }
 
 internal typealias CallerConnection = CallerConnections.CallerConnection
 
-/** Takes a request with both a length and a chunked body, of which two readers see different ends, as malformed. */
+/** Rejects requests with both Content-Length and a chunked body, whose end two parsers may see in different places. */
 private class UnambiguousRequestDecoder(
     maxHeaderBytes: Int,
 ) : HttpRequestDecoder(
@@ -337,6 +343,7 @@
             .setMaxChunkSize(MAX_CHUNK_BYTES),
     ) {
     override fun handleTransferEncodingChunkedWithContentLength(message: HttpMessage) {
-        message.decoderResult = DecoderResult.failure(IllegalArgumentException("a length and a chunked body"))
+        message.decoderResult =
+            DecoderResult.failure(IllegalArgumentException("expected Content-Length or a chunked body, got both"))
     }
 }
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/CallerRequest.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/CallerRequest.kt
@@ -1,5 +1,5 @@
 /*
- * A caller's request as the gateway works on it, and the request that it sends to an upstream in its place.
+ * A caller's request as processed by the gateway, and the request derived from it that is sent to an upstream.
  */
 package io.carawaytrack.gateway
 
@@ -21,12 +21,12 @@
 private const val LAST_EVENT_ID = "Last-Event-Id"
 private const val BEARER = "Bearer "
 
-/** Most urgent value that a request of the lowest rank gets, and the step between two ranks. */
+/** Urgency of rank 0, the step between two ranks, and the least urgent value, at which lower ranks are capped. */
 private const val LOWEST_URGENCY = 9
 private const val URGENCY_STEP = 2
 private const val FIRST_URGENCY = 1
 
-/** Headers that concern one connection only, in lower case. */
+/** Hop-by-hop headers, in lower case. */
 private val connectionHeaders =
     setOf(
         "connection",
@@ -43,10 +43,10 @@
     )
 
 /**
- * Holds a request that a route takes.
+ * A request that matches a route.
  *
- * @property endsAtMillis when the caller or the route stops waiting, whichever is first
- * @property rank urgency, 0 first
+ * @property deadlineAtMillis the earlier of the caller's deadline and the route's timeout
+ * @property rank urgency, 0 is the most urgent
  */
 internal class CallerRequest(
     val head: HttpRequest,
@@ -55,34 +55,34 @@
     val route: CatalogRoute,
     val organisation: CatalogOrganisation?,
     val arrivedAtMillis: Long,
-    val endsAtMillis: Long,
+    val deadlineAtMillis: Long,
     val demand: PromptDemand,
     val session: String,
 ) {
     val rank: Int = organisation?.rank ?: route.rank
 
-    /** Whether the gateway is to choose the model. */
-    val anyModel: Boolean get() = route.models.isNotEmpty()
+    /** Whether the gateway selects the model. */
+    val gatewayChoosesModel: Boolean get() = route.models.isNotEmpty()
 
-    /** Identifier of the last event that the caller has, if it resumes a stream. */
+    /** Returns the identifier of the last event that the caller has received, if it resumes a stream. */
     fun lastEventId(): String? = head.headers()[LAST_EVENT_ID]
 }
 
-/** Deadline of requests that state none, in milliseconds: as long as the longest of today's routes waits. */
+/** Deadline of requests that specify none: the longest timeout of the present routes. */
 private const val DEFAULT_DEADLINE_MILLIS = 30_000L
 
-/** Reads a request that [match] takes and that arrived at [nowMillis]. */
+/** Parses a request that matches the route of [match] and arrived at [nowMillis]. */
 internal fun readRequest(
     head: HttpRequest,
     body: ByteBuf,
     match: Match.Found,
-    vocabulary: HeaderVocabulary,
+    headerNames: HeaderNames,
     nowMillis: Long,
 ): CallerRequest {
     val headers = head.headers()
-    val id = headers[vocabulary.attemptId].orEmpty()
-    val deadlineMillis = headers[vocabulary.deadlineMillis]?.toLongOrNull() ?: DEFAULT_DEADLINE_MILLIS
-    val demand = promptDemand(headers[vocabulary.tokenUsage], headers[vocabulary.promptParts])
+    val id = headers[headerNames.attemptId].orEmpty()
+    val deadlineMillis = headers[headerNames.deadlineMillis]?.toLongOrNull() ?: DEFAULT_DEADLINE_MILLIS
+    val demand = parsePromptDemand(headers[headerNames.tokenUsage], headers[headerNames.promptParts])
     return CallerRequest(
         head = head,
         body = body,
@@ -90,48 +90,48 @@
         route = match.route,
         organisation = match.organisation,
         arrivedAtMillis = nowMillis,
-        endsAtMillis = nowMillis + minOf(deadlineMillis, match.route.timeoutMillis),
+        deadlineAtMillis = nowMillis + minOf(deadlineMillis, match.route.timeoutMillis),
         demand = demand,
-        session = sessionOf(headers, demand, vocabulary, id),
+        session = sessionOf(headers, demand, headerNames, id),
     )
 }
 
-/** Reads what tells an organisation's caller from others. */
+/** Returns the bearer key that identifies the caller's organisation, or null when there is none. */
 internal fun bearerKey(headers: HttpHeaders): String? {
     val value = headers[HttpHeaderNames.AUTHORIZATION] ?: return null
     return if (value.startsWith(BEARER, ignoreCase = true)) value.substring(BEARER.length).trim() else null
 }
 
-/** Returns the session's name, or else what only requests of one session share. */
+/** Returns the session header, or else the identifier of the last prompt part, or else the request's [id]. */
 internal fun sessionOf(
     headers: HttpHeaders,
     demand: PromptDemand,
-    vocabulary: HeaderVocabulary,
+    headerNames: HeaderNames,
     id: String,
-): String = headers[vocabulary.session] ?: demand.parts.lastOrNull()?.id ?: id
+): String = headers[headerNames.session] ?: demand.parts.lastOrNull()?.id ?: id
 
 /**
  * Builds the request for [upstream].
  *
- * @param model model that is to answer; null leaves what the caller said
- * @param lastEventId event after which a stream goes on
+ * @param model model that is to process the request; null keeps the caller's choice
+ * @param lastEventId event after which a stream resumes
  */
 internal fun CallerRequest.forUpstream(
     upstream: FleetUpstream,
-    vocabulary: HeaderVocabulary,
-    leftMillis: Long,
+    headerNames: HeaderNames,
+    remainingMillis: Long,
     model: String?,
     lastEventId: String?,
 ): FullHttpRequest {
-    val headers = passedOn(head.headers(), vocabulary.reserved)
+    val headers = forwardedHeaders(head.headers(), headerNames.reserved)
     if (bearerKey(head.headers()) != null) headers.remove(HttpHeaderNames.AUTHORIZATION)
-    headers[vocabulary.attemptId] = id
-    headers[vocabulary.deadlineMillis] = leftMillis.toString()
-    headers[vocabulary.expectedUpstream] = upstream.id.value
-    headers.remove(vocabulary.organisation)
-    organisation?.let { headers[vocabulary.organisation] = it.name.value }
-    if (model != null) headers[vocabulary.model] = model
-    if (route.streaming) headers[vocabulary.urgency] = urgency().toString()
+    headers[headerNames.attemptId] = id
+    headers[headerNames.deadlineMillis] = remainingMillis.toString()
+    headers[headerNames.expectedUpstream] = upstream.id.value
+    headers.remove(headerNames.organisation)
+    organisation?.let { headers[headerNames.organisation] = it.name.value }
+    if (model != null) headers[headerNames.model] = model
+    if (route.streaming) headers[headerNames.urgency] = urgency().toString()
     if (lastEventId != null) headers[LAST_EVENT_ID] = lastEventId
     val request =
         DefaultFullHttpRequest(
@@ -142,33 +142,34 @@
             headers,
             EmptyHttpHeaders.INSTANCE,
         )
-    if (body.isReadable || carriedBody()) HttpUtil.setContentLength(request, body.readableBytes().toLong())
+    if (body.isReadable || hadBody()) HttpUtil.setContentLength(request, body.readableBytes().toLong())
     return request
 }
 
-private fun CallerRequest.carriedBody() =
+private fun CallerRequest.hadBody() =
     head.headers().contains(HttpHeaderNames.CONTENT_LENGTH) || HttpUtil.isTransferEncodingChunked(head)
 
 private fun CallerRequest.urgency() = minOf(LOWEST_URGENCY, FIRST_URGENCY + URGENCY_STEP * rank)
 
-private fun namedByConnection(headers: HttpHeaders): List<String> =
+private fun connectionNominatedHeaders(headers: HttpHeaders): List<String> =
     headers.getAll(HttpHeaderNames.CONNECTION).flatMap { it.split(',') }.map { it.trim().lowercase() }
 
-/** Returns the headers of an upstream's answer that go to the caller. */
-internal fun answerHeaders(upstreams: HttpHeaders): HttpHeaders = passedOn(upstreams, reserved = emptySet())
+/** Returns the headers of an upstream's response that are forwarded to the caller. */
+internal fun responseHeaders(upstreamHeaders: HttpHeaders): HttpHeaders =
+    forwardedHeaders(upstreamHeaders, reserved = emptySet())
 
-/** Copies [headers] but for those of one connection and the [reserved] ones, which are named in lower case. */
-private fun passedOn(
+/** Copies [headers] except for hop-by-hop headers and the [reserved] ones, which are given in lower case. */
+private fun forwardedHeaders(
     headers: HttpHeaders,
     reserved: Set<String>,
 ): HttpHeaders {
-    val dropped = connectionHeaders + namedByConnection(headers) + reserved
+    val dropped = connectionHeaders + connectionNominatedHeaders(headers) + reserved
     val copy = unvalidatedHeaders()
     headers.forEach { (name, value) -> if (name.lowercase() !in dropped) copy.add(name, value) }
     return copy
 }
 
-/** Creates headers that take what another message's reader has checked already. */
-internal fun unvalidatedHeaders(): HttpHeaders = unvalidated.newHeaders()
+/** Creates headers without validation, for values that the decoder of another message has already validated. */
+internal fun unvalidatedHeaders(): HttpHeaders = unvalidatedHeadersFactory.newHeaders()
 
-private val unvalidated = DefaultHttpHeadersFactory.headersFactory().withValidation(false)
+private val unvalidatedHeadersFactory = DefaultHttpHeadersFactory.headersFactory().withValidation(false)
--- /dev/null
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Dispatcher.kt
@@ -0,0 +1,234 @@
+/*
+ * Dispatching of one host's requests: the model and the upstream of each request, which requests are queued, which are
+ * refused, and when their callers may retry.
+ */
+package io.carawaytrack.gateway
+
+import io.carawaytrack.fleet.CatalogPool
+import io.carawaytrack.fleet.FleetUpstream
+import io.carawaytrack.fleet.RolloutTally
+import io.carawaytrack.model.ErrorKind
+import io.carawaytrack.model.Execution
+import io.carawaytrack.model.Failure
+import io.carawaytrack.model.notRun
+
+/** Retry-After when all upstreams are full: some of their requests have ended by then. */
+private const val POOL_EXHAUSTED_RETRY_AFTER_MILLIS = 400L
+
+/** Retry-After while this host shuts down: another host can take the request at once. */
+private const val SHUTDOWN_RETRY_AFTER_MILLIS = 20L
+
+/** Typical number of tokens in an event; engines differ little. */
+private const val TOKENS_PER_EVENT = 7
+
+internal class Dispatcher(
+    settings: GatewaySettings,
+    override val headerNames: HeaderNames,
+    private val upstreams: UpstreamDirectory,
+    private val rollouts: RolloutTracker,
+    private val connections: UpstreamConnections,
+    private val meters: GatewayMeters,
+    private val nowMillis: () -> Long,
+) : ExchangeContext {
+    private val budgets = RetryBudgets(settings.retries, { upstreams.hosts }, nowMillis)
+    private val models = ModelPolicy(nowMillis)
+    private val log = RequestLog(nowMillis)
+    private val queue = WaitQueue<Exchange>(nowMillis)
+    private val active = LinkedHashSet<Exchange>()
+
+    /** Version of the configuration in force, included in log events. */
+    var configuration: Long? = null
+
+    val unfinished: Int get() = active.size
+    val waiting: Int get() = queue.size
+
+    override fun nowMillis(): Long = nowMillis.invoke()
+
+    /** Starts serving [request] from [pool]; a [draining] host refuses streams. */
+    fun begin(
+        request: CallerRequest,
+        pool: CatalogPool?,
+        caller: CallerConnection,
+        draining: Boolean,
+    ) {
+        val exchange = Exchange(request, pool, caller, this)
+        active += exchange
+        if (pool == null) return exchange.fail(ErrorKind.NoHealthyUpstream.notRun("the route has no configured pool"))
+        if (draining && request.route.streaming) {
+            return exchange.fail(ErrorKind.ShuttingDown.notRun(retryAfterMillis = SHUTDOWN_RETRY_AFTER_MILLIS))
+        }
+        if (request.gatewayChoosesModel) exchange.modelIndex = models.firstModel(request.route, pool)
+        budgets.recordRequest(pool.name)
+        enqueue(exchange)
+    }
+
+    /** Checks deadlines, unresponsive upstreams and queued requests. */
+    fun tick() {
+        active.toList().forEach { it.tick() }
+        queue.expired().forEach { it.fail(poolExhausted(it)) }
+        offerWaiting()
+    }
+
+    /** Sends queued requests for which there is free capacity. */
+    fun offerWaiting() = queue.offer { it.phase != ExchangePhase.Waiting || tryPlace(it) }
+
+    override fun tryRetry(exchange: Exchange): Boolean = exchange.pool?.let { budgets.tryRetry(it.name) } == true
+
+    override fun enqueue(exchange: Exchange) {
+        if (tryPlace(exchange)) return
+        val pool = exchange.pool ?: return
+        val session = exchange.request.session
+        if (upstreams.hasNoUpstream(pool.name, session)) return exchange.fail(noUpstream(exchange))
+        queue.add(exchange).forEach { it.fail(poolExhausted(it)) }
+    }
+
+    /** Logs the upstream of an attempt: of every retry, and of the first attempts of sampled requests. */
+    private fun logPlacement(
+        exchange: Exchange,
+        model: String?,
+    ) {
+        if (exchange.attempts == 1 && !log.isSampled(exchange.request.id)) return
+        val detail = mapOf("model" to model, "attempt" to exchange.attempts, "waitedMillis" to exchange.waitedMillis)
+        logExchange(exchange, "request_placed", detail)
+    }
+
+    private fun noUpstream(exchange: Exchange) = when {
+        exchange.hasNotRun -> ErrorKind.NoHealthyUpstream.notRun(retryAfterMillis = NO_UPSTREAM_RETRY_AFTER_MILLIS)
+        else -> attemptsExhausted(exchange)
+    }
+
+    private fun poolExhausted(exchange: Exchange) = when {
+        exchange.hasNotRun -> ErrorKind.PoolExhausted.notRun(retryAfterMillis = POOL_EXHAUSTED_RETRY_AFTER_MILLIS)
+        else -> attemptsExhausted(exchange)
+    }
+
+    private fun attemptsExhausted(exchange: Exchange) = Failure(
+        ErrorKind.UpstreamFailed,
+        Execution.MayHaveRun,
+        "no other upstream can take over the request after ${exchange.attempts} attempts",
+    )
+
+    /** Sends the exchange if an upstream can accept it now; returns whether it was sent. */
+    private fun tryPlace(exchange: Exchange): Boolean {
+        val pool = exchange.pool ?: return false
+        val request = exchange.request
+        val model = if (request.gatewayChoosesModel) request.route.models.getOrNull(exchange.modelIndex) else null
+        val criteria =
+            SelectionCriteria(
+                pool = pool,
+                session = request.session,
+                demand = request.demand,
+                model = model.orEmpty(),
+                excluded = exchange.excluded,
+                allowExcluded = exchange.hasNotRun,
+            )
+        val target = upstreams.choose(criteria) ?: return false
+        exchange.sendTo(target, model)
+        logPlacement(exchange, model)
+        return true
+    }
+
+    override fun send(
+        exchange: Exchange,
+        target: UpstreamState,
+        attempt: Attempt,
+    ) = connections.send(target.upstream.address, attempt, nonRetryable = !exchange.request.route.repeatable)
+
+    override fun recordOutcome(
+        exchange: Exchange,
+        upstream: FleetUpstream,
+        good: Boolean,
+        tookMillis: Long,
+    ) {
+        meters.attemptEnded(upstream, good)
+        val rollout = upstreams.rolloutOf(upstream.pool) ?: return
+        rollouts.recordOutcome(rollout, exchange.request.route.name, upstream.version, good, tookMillis)
+    }
+
+    override fun attemptAbandoned(exchange: Exchange) {
+        openAttempt(exchange)?.let(rollouts::recordAbandoned)
+        if (exchange.target != null && !exchange.hasResponseHead) recordWait(exchange)
+    }
+
+    /** Records how long the current attempt has taken so far if it uses the route's largest model. */
+    private fun recordWait(exchange: Exchange) {
+        val request = exchange.request
+        if (!request.gatewayChoosesModel || exchange.modelIndex != request.route.models.lastIndex) return
+        models.recordWait(request.route, nowMillis() - exchange.sentAtMillis)
+    }
+
+    /** Returns the outcomes of each running roll-out so far, including unfinished attempts. */
+    fun tallies(): List<RolloutTally> = rollouts.tallies(active.mapNotNull(::openAttempt))
+
+    private fun openAttempt(exchange: Exchange): OpenAttempt? {
+        val upstream = exchange.target?.upstream ?: return null
+        val rollout = upstreams.rolloutOf(upstream.pool) ?: return null
+        val elapsedMillis = nowMillis() - exchange.sentAtMillis
+        return OpenAttempt(rollout, exchange.request.route.name, upstream.version, elapsedMillis)
+    }
+
+    override fun responseStarted(
+        exchange: Exchange,
+        confidence: Int?,
+    ) {
+        val request = exchange.request
+        if (confidence != null && request.gatewayChoosesModel) {
+            models.recordConfidence(request.route, exchange.modelIndex, request.demand, confidence)
+            recordWait(exchange)
+        }
+    }
+
+    override fun escalationModel(
+        exchange: Exchange,
+        confidence: Int?,
+    ): Int? {
+        val request = exchange.request
+        if (confidence == null ||
+            !request.gatewayChoosesModel ||
+            exchange.possibleRuns >= request.route.maxAttempts
+        ) {
+            return null
+        }
+        val onTimeRemainingMillis = exchange.onTimeUntilMillis - nowMillis()
+        val escalatedTo =
+            models.escalationTarget(
+                request.route,
+                exchange.modelIndex,
+                request.demand,
+                confidence,
+                onTimeRemainingMillis,
+            )
+        if (escalatedTo == null || exchange.pool?.let { budgets.tryEscalation(it.name) } != true) return null
+        val detail =
+            mapOf(
+                "confidence" to confidence,
+                "toModelIndex" to escalatedTo,
+                "onTimeLeftMillis" to onTimeRemainingMillis,
+            )
+        logExchange(exchange, "answer_dropped", detail)
+        return escalatedTo
+    }
+
+    override fun logExchange(
+        exchange: Exchange,
+        event: String,
+        detail: Map<String, Any?>,
+    ) = log.write(event, exchange, configuration, detail)
+
+    override fun exchangeEnded(outcome: ExchangeOutcome) {
+        val exchange = outcome.exchange
+        active -= exchange
+        queue.remove(exchange)
+        meters.requestEnded(outcome.summary(nowMillis()))
+        if (outcome.isComplete && exchange.events > 0) {
+            models.recordOutputLength(exchange.request.route, exchange.events * TOKENS_PER_EVENT)
+        }
+        val ordinary = outcome.isComplete && exchange.attempts == 1
+        if (!ordinary ||
+            log.isSampled(exchange.request.id)
+        ) {
+            logExchange(exchange, "request_ended", outcome.fields(nowMillis()))
+        }
+        offerWaiting()
+    }
+}
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/EventScanner.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/EventScanner.kt
@@ -1,6 +1,7 @@
 /*
- * Splits a stream into whole events. An upstream may stop in the middle of an event, and the rest of it never comes, so
- * only whole events go to the caller; the identifier of the last one tells where another upstream has to go on.
+ * Splits a server-sent event stream into complete events. An upstream may fail in the middle of an event whose
+ * remainder then never arrives, so only complete events are forwarded to the caller. The identifier of the last one is
+ * the point from which another upstream has to resume.
  */
 package io.carawaytrack.gateway
 
@@ -12,46 +13,48 @@
 private const val CARRIAGE_RETURN = '\r'.code.toByte()
 private val ID_FIELD = "id:".encodeToByteArray()
 
-/** Largest part of an event that is kept while its end is awaited, in bytes. */
+/** Maximum size of an incomplete event that is buffered. */
 private const val MAX_EVENT_BYTES = 1024 * 1024
 
 internal class EventScanner(
-    /** Identifier of the last event that was passed on, or the one that the caller named. */
+    /** Identifier of the last forwarded event, initially the one from which the caller resumes. */
     var lastId: String?,
 ) {
     private var partial: ByteBuf = Unpooled.EMPTY_BUFFER
     private var lastNumber = lastId?.toLongOrNull()
 
-    /** Whole events passed on so far. */
+    /** Number of complete events forwarded so far. */
     var events = 0
         private set
 
-    /** Whether the stream has been cut by events that don't follow one another or don't end. */
-    var damaged = false
+    /** Whether an event exceeded [MAX_EVENT_BYTES] without an end. */
+    var corrupted = false
         private set
 
-    /** Whether nothing of an unfinished event is kept. */
+    /** Whether no incomplete event is buffered. */
     val isAtBoundary: Boolean get() = !partial.isReadable
 
-    /** Takes [bytes], which it releases, and returns whole events that have become known, for the caller to release. */
-    fun take(
+    /**
+     * Appends [bytes], which it releases, and returns the events that are now complete, to be released by the caller.
+     */
+    fun append(
         bytes: ByteBuf,
         allocator: ByteBufAllocator,
     ): ByteBuf {
-        val all = join(bytes, allocator)
-        val end = endOfLastEvent(all)
+        val joined = join(bytes, allocator)
+        val end = endOfLastEvent(joined)
         if (end < 0) {
-            partial = all
-            damaged = damaged || all.readableBytes() > MAX_EVENT_BYTES
+            partial = joined
+            corrupted = corrupted || joined.readableBytes() > MAX_EVENT_BYTES
             return Unpooled.EMPTY_BUFFER
         }
-        val whole = all.readRetainedSlice(end - all.readerIndex())
-        partial = if (all.isReadable) all else Unpooled.EMPTY_BUFFER.also { all.release() }
-        return onlyNew(whole, allocator)
+        val complete = joined.readRetainedSlice(end - joined.readerIndex())
+        partial = if (joined.isReadable) joined else Unpooled.EMPTY_BUFFER.also { joined.release() }
+        return withoutDuplicates(complete, allocator)
     }
 
-    /** Forgets an unfinished event, because its upstream has stopped. */
-    fun dropPartial() {
+    /** Discards an incomplete event after its upstream failed. */
+    fun discardPartial() {
         partial.release()
         partial = Unpooled.EMPTY_BUFFER
     }
@@ -87,37 +90,37 @@
         return byte == CARRIAGE_RETURN && index > buffer.readerIndex() && buffer.getByte(index - 1) == NEWLINE
     }
 
-    /** Drops events that the caller has already, after a stream has gone on at another upstream. */
-    private fun onlyNew(
-        whole: ByteBuf,
+    /** Removes events that the caller has already received, after a stream resumed on another upstream. */
+    private fun withoutDuplicates(
+        complete: ByteBuf,
         allocator: ByteBufAllocator,
     ): ByteBuf {
-        var kept: ByteBuf? = null
-        val first = whole.readerIndex()
+        var filtered: ByteBuf? = null
+        val first = complete.readerIndex()
         var start = first
-        while (start < whole.writerIndex()) {
-            val end = endOfFirstEvent(whole, start)
-            val id = idWithin(whole, start, end)
-            val repeated = isRepeated(id)
-            if (repeated && kept == null) kept = allocator.buffer().writeBytes(whole, first, start - first)
-            if (!repeated) {
-                noteId(id)
+        while (start < complete.writerIndex()) {
+            val end = endOfFirstEvent(complete, start)
+            val id = idWithin(complete, start, end)
+            val duplicate = isDuplicate(id)
+            if (duplicate && filtered == null) filtered = allocator.buffer().writeBytes(complete, first, start - first)
+            if (!duplicate) {
+                recordId(id)
                 events++
-                kept?.writeBytes(whole, start, end - start)
+                filtered?.writeBytes(complete, start, end - start)
             }
             start = end
         }
-        if (kept == null) return whole
-        whole.release()
-        return kept
+        if (filtered == null) return complete
+        complete.release()
+        return filtered
     }
 
-    private fun isRepeated(id: String?): Boolean {
+    private fun isDuplicate(id: String?): Boolean {
         val number = id?.toLongOrNull() ?: return false
         return number <= (lastNumber ?: return false)
     }
 
-    private fun noteId(id: String?) {
+    private fun recordId(id: String?) {
         if (id == null) return
         lastId = id
         lastNumber = id.toLongOrNull()
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/ExchangeHost.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/ExchangeContext.kt
@@ -1,5 +1,6 @@
 /*
- * What an exchange asks of its gateway, and what it says of itself while it lasts and at its end.
+ * Interface between an exchange and its gateway: the operations that an exchange requests, and the events and the
+ * outcome that it reports.
  */
 package io.carawaytrack.gateway
 
@@ -7,16 +8,16 @@
 import io.carawaytrack.model.ErrorKind
 import io.carawaytrack.model.Execution
 
-/** Says what an exchange waits for. */
-internal enum class ExchangePhase { Waiting, Sent, Over }
+/** Phases of an exchange: waiting for an upstream, sent to an upstream, and ended. */
+internal enum class ExchangePhase { Waiting, Sent, Ended }
 
-/** Holds what is known of one exchange's end, for the log and the metrics; [failure] is null for an answer. */
-internal class ExchangeEnd(
+/** Outcome of an exchange, for the log and the metrics; [failure] is null when an upstream's response was relayed. */
+internal class ExchangeOutcome(
     val exchange: Exchange,
     private val status: Int,
     private val failure: ErrorKind?,
 ) {
-    val complete: Boolean get() = failure == null
+    val isComplete: Boolean get() = failure == null
 
     fun summary(nowMillis: Long): EndedRequest = EndedRequest(
         organisation = exchange.request.organisation?.name,
@@ -27,7 +28,7 @@
         firstByteMillis = exchange.firstByteMillis,
     )
 
-    /** Returns what the log says of the end at [nowMillis]. */
+    /** Returns the log fields for an exchange that ends at [nowMillis]. */
     fun fields(nowMillis: Long): Map<String, Any?> = mapOf(
         "status" to status,
         "reason" to (failure?.name ?: "complete"),
@@ -35,17 +36,17 @@
         "tookMillis" to nowMillis - exchange.request.arrivedAtMillis,
         "firstByteMillis" to exchange.firstByteMillis,
         "waitedMillis" to exchange.waitedMillis,
-        "tries" to exchange.tries,
+        "tries" to exchange.attempts,
     )
 }
 
-/** What an exchange asks of its gateway. */
-internal interface ExchangeHost {
-    val vocabulary: HeaderVocabulary
+/** Operations of the gateway that an exchange uses. */
+internal interface ExchangeContext {
+    val headerNames: HeaderNames
 
     fun nowMillis(): Long
 
-    /** Queues the exchange until an upstream can take it. */
+    /** Sends the exchange to an upstream, or queues it until an upstream can accept it. */
     fun enqueue(exchange: Exchange)
 
     /** Sends the exchange's next attempt. */
@@ -55,37 +56,37 @@
         attempt: Attempt,
     )
 
-    /** Takes one repeat from the budget of the route's pool. */
-    fun mayRepeat(exchange: Exchange): Boolean
+    /** Takes one retry from the budget of the route's pool; returns false when the budget is exhausted. */
+    fun tryRetry(exchange: Exchange): Boolean
 
-    /** Counts what an attempt showed of its upstream's version, and how long it took. */
-    fun observed(
+    /** Records the outcome and duration of an attempt for its upstream's version. */
+    fun recordOutcome(
         exchange: Exchange,
         upstream: FleetUpstream,
         good: Boolean,
         tookMillis: Long,
     )
 
-    /** Takes in that the exchange leaves its attempt, which has not ended. */
-    fun left(exchange: Exchange)
+    /** Handles that the exchange abandons its current attempt before a response is complete. */
+    fun attemptAbandoned(exchange: Exchange)
 
-    /** Takes in an answer's head, for the model that gave it. */
-    fun answeredBy(
+    /** Handles the head of a response, which carries the model's [confidence]. */
+    fun responseStarted(
         exchange: Exchange,
         confidence: Int?,
     )
 
-    /** Returns the position of the model whose answer is to replace one of this [confidence], or null. */
-    fun largerModel(
+    /** Returns the index of the model whose response is to replace one of this [confidence], or null to keep it. */
+    fun escalationModel(
         exchange: Exchange,
         confidence: Int?,
     ): Int?
 
-    fun noted(
+    fun logExchange(
         exchange: Exchange,
         event: String,
         detail: Map<String, Any?>,
     )
 
-    fun ended(end: ExchangeEnd)
+    fun exchangeEnded(outcome: ExchangeOutcome)
 }
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Gateway.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Gateway.kt
@@ -1,6 +1,6 @@
 /*
- * One host's way from callers to upstreams: it matches requests with the tables, places them, and keeps what it learns
- * of the upstreams. Everything runs on one event loop, so nothing here is shared between threads.
+ * The gateway of one host between callers and upstreams: it matches requests against the routing tables, dispatches
+ * them, and tracks the state of the upstreams. All of it runs on one event loop, so no state is shared between threads.
  */
 package io.carawaytrack.gateway
 
@@ -31,19 +31,21 @@
 import io.netty.handler.codec.http.HttpRequest
 import io.netty.handler.codec.http.HttpResponseStatus
 
-/** Interval at which deadlines, silent upstreams and waiting requests are looked at, in milliseconds. */
+/** Interval at which deadlines, unresponsive upstreams and queued requests are checked. */
 public const val GATEWAY_TICK_MILLIS: Long = 100
 
-/** Ticks between two looks at idle connections. */
+/** Number of ticks between two checks for idle connections. */
 private const val TICKS_PER_PRUNE = 10
 
-/** When a caller that found no upstream at all may come back, in milliseconds: a crashed one is back by then. */
-internal const val NOBODY_RETRY_MILLIS = 800L
+/** Retry-After when no upstream is available: a crashed one has restarted by then. */
+internal const val NO_UPSTREAM_RETRY_AFTER_MILLIS = 800L
 
 /**
- * Sets up a gateway.
+ * Settings of a gateway.
  *
- * @property retries bounds on what all hosts together may send once more to a service
+ * @property callers address on which callers are accepted
+ * @property zone availability zone of this host
+ * @property retries limits on the retries that all hosts together may send to a service
  */
 public data class GatewaySettings(
     val callers: HostPort,
@@ -55,8 +57,8 @@
 /**
  * Describes a request that has ended.
  *
- * @property failure null for a complete answer of an upstream
- * @property firstByteMillis time to the first byte of an answer; null where none came
+ * @property failure null for a complete response from an upstream
+ * @property firstByteMillis time to the first byte of a response; null when there was none
  */
 public data class EndedRequest(
     val organisation: OrganisationName?,
@@ -68,73 +70,73 @@
 )
 
 /**
- * Takes what a gateway counts; all calls come on the event loop.
+ * Receives the gateway's measurements; all calls are made on the event loop.
  *
- * @property requestEnded hears of each request that a route took
- * @property attemptEnded hears of each attempt, and whether it was good
+ * @property requestEnded called for each request that matched a route
+ * @property attemptEnded called for each attempt with its upstream and whether it succeeded
  */
 public class GatewayMeters(
     public val requestEnded: (EndedRequest) -> Unit = {},
     public val attemptEnded: (FleetUpstream, Boolean) -> Unit = { _, _ -> },
 )
 
-/** Serves callers; to be used on its event loop only. */
+/** Serves callers; must only be used on its event loop. */
 public interface Gateway : AutoCloseable {
-    /** Requests that have not been answered to the end. */
+    /** Number of requests whose response is not complete. */
     public val unfinished: Int
 
-    /** Requests among them that wait for an upstream with room. */
+    /** Number of [unfinished] requests that wait for an upstream with free capacity. */
     public val waiting: Int
 
     /** Puts [catalog] in force for requests that arrive from now on. */
     public fun apply(catalog: Catalog)
 
-    /** Takes in roll-outs and zones that are out. */
+    /** Applies roll-outs and evacuated zones. */
     public fun apply(view: FleetView)
 
-    /** Takes in an announcement. */
-    public fun changed(known: KnownUpstream)
+    /** Handles an announcement of an upstream. */
+    public fun updateUpstream(known: KnownUpstream)
 
-    /** Takes in that an upstream has signed off. */
-    public fun gone(departure: Departure)
+    /** Handles the deregistration of an upstream. */
+    public fun removeUpstream(departure: Departure)
 
-    /** Takes in that [hosts] hosts share what upstreams bear. */
-    public fun sharedBy(hosts: Int)
+    /** Sets the number of [hosts] that share the upstreams' limits. */
+    public fun setHostCount(hosts: Int)
 
-    /** Returns what this host has seen of each running roll-out. */
+    /** Returns the outcomes that this host has observed for each running roll-out. */
     public fun tallies(): List<RolloutTally>
 
-    /** Returns whether an upstream of [pool] runs [version] and can take requests. */
+    /** Returns whether an upstream of [pool] runs [version] and can accept requests. */
     public fun serves(
         pool: PoolName,
         version: String,
     ): Boolean
 
-    /** Looks at deadlines, silent upstreams and waiting requests; to be called about every [GATEWAY_TICK_MILLIS]. */
+    /** Checks deadlines, unresponsive upstreams and queued requests; to be called about every [GATEWAY_TICK_MILLIS]. */
     public fun tick()
 
     /**
-     * Begins a graceful shutdown: no connection is accepted any more, idle ones are closed, the others end with their
-     * answers, and streams, which might not end in time, are refused.
+     * Starts a graceful shutdown: new connections are no longer accepted, idle ones are closed, the others are closed
+     * after their current response, and new streams are refused because they might not end in time.
      */
     public fun drain()
 }
 
-/** Starts a gateway on the one event loop of [group]. */
+/** Starts a gateway on [group], which must have a single event loop. */
 public fun Gateway(
     settings: GatewaySettings,
-    vocabulary: HeaderVocabulary,
+    headerNames: HeaderNames,
     group: EventLoopGroup,
-    heard: () -> Collection<KnownUpstream>,
+    knownUpstreams: () -> Collection<KnownUpstream>,
     meters: GatewayMeters = GatewayMeters(),
     nowMillis: () -> Long,
-): Gateway = LoopGateway(settings, vocabulary, group, heard, meters, nowMillis).also { it.start() }
+): Gateway = LoopGateway(settings, headerNames, group, knownUpstreams, meters, nowMillis).also { it.start() }
 
 private class LoopGateway(
     private val settings: GatewaySettings,
-    private val vocabulary: HeaderVocabulary,
+    private val headerNames: HeaderNames,
     group: EventLoopGroup,
-    private val heard: () -> Collection<KnownUpstream>,
+    private val knownUpstreams: () -> Collection<KnownUpstream>,
     meters: GatewayMeters,
     private val nowMillis: () -> Long,
 ) : Gateway {
@@ -145,17 +147,17 @@
             nowMillis,
         )
     private val connections = UpstreamConnections(group, nowMillis)
-    private val rollouts = RolloutWatch(settings.rollouts, nowMillis)
+    private val rollouts = RolloutTracker(settings.rollouts, nowMillis)
     private val upstreams = UpstreamDirectory(settings.zone, rollouts, connections, nowMillis)
-    private val dispatch = Dispatch(settings, vocabulary, upstreams, rollouts, connections, meters, nowMillis)
+    private val dispatcher = Dispatcher(settings, headerNames, upstreams, rollouts, connections, meters, nowMillis)
     private var catalog: Catalog? = null
     private var draining = false
     private var ticks = 0L
     private var listening: Channel? = null
 
-    override val unfinished: Int get() = dispatch.unfinished
+    override val unfinished: Int get() = dispatcher.unfinished
 
-    override val waiting: Int get() = dispatch.waiting
+    override val waiting: Int get() = dispatcher.waiting
 
     fun start() {
         listening = callers.listen(settings.callers)
@@ -163,29 +165,29 @@
 
     override fun apply(catalog: Catalog) {
         this.catalog = catalog
-        dispatch.configuration = catalog.version
+        dispatcher.configuration = catalog.version
     }
 
     override fun apply(view: FleetView) {
         upstreams.apply(view) { pool -> catalog?.pools?.get(pool)?.coldStartMillis ?: 0 }
-        dispatch.offerWaiting()
+        dispatcher.offerWaiting()
     }
 
-    override fun changed(known: KnownUpstream) {
-        upstreams.changed(known)
+    override fun updateUpstream(known: KnownUpstream) {
+        upstreams.update(known)
         logEvent("upstream_changed", fieldsOf(known.upstream))
-        dispatch.offerWaiting()
+        dispatcher.offerWaiting()
     }
 
-    override fun gone(departure: Departure) {
-        if (upstreams.gone(departure)) logEvent("upstream_gone", mapOf("upstream" to departure.id.value))
+    override fun removeUpstream(departure: Departure) {
+        if (upstreams.remove(departure)) logEvent("upstream_gone", mapOf("upstream" to departure.id.value))
     }
 
-    override fun sharedBy(hosts: Int) {
+    override fun setHostCount(hosts: Int) {
         upstreams.hosts = maxOf(1, hosts)
     }
 
-    override fun tallies(): List<RolloutTally> = dispatch.tallies()
+    override fun tallies(): List<RolloutTally> = dispatcher.tallies()
 
     override fun serves(
         pool: PoolName,
@@ -205,7 +207,7 @@
     ) {
         val inForce = catalog
         if (inForce == null) {
-            return refuse(request, body, caller, ErrorKind.StaleConfiguration, NOBODY_RETRY_MILLIS)
+            return refuse(request, body, caller, ErrorKind.StaleConfiguration, NO_UPSTREAM_RETRY_AFTER_MILLIS)
         }
         val path = request.uri().substringBefore('?')
         val host =
@@ -218,14 +220,16 @@
             Match.NoRoute -> refuse(request, body, caller, ErrorKind.UnknownRoute)
             Match.UnknownKey -> refuse(request, body, caller, ErrorKind.UnknownKey)
             is Match.Found -> {
-                val read = readRequest(request, body, match, vocabulary, nowMillis())
-                dispatch.begin(read, poolOf(match.route, read.id, inForce), caller, draining)
+                val callerRequest = readRequest(request, body, match, headerNames, nowMillis())
+                dispatcher.begin(callerRequest, choosePool(match.route, callerRequest.id, inForce), caller, draining)
             }
         }
     }
 
-    /** Draws the pool by the weights; the same request gets the same one everywhere. */
-    private fun poolOf(
+    /**
+     * Selects a pool by weight from a hash of the request's [id], so that all hosts select the same pool for a request.
+     */
+    private fun choosePool(
         route: CatalogRoute,
         id: String,
         inForce: Catalog,
@@ -241,8 +245,8 @@
         status: HttpResponseStatus,
     ) {
         logEvent("request_malformed", mapOf("status" to status.code()))
-        val own = answerTo(ErrorKind.MalformedRequest.notRun())
-        caller.answer(status, own.headers, own.content)
+        val reply = localReplyTo(ErrorKind.MalformedRequest.notRun())
+        caller.respond(status, reply.headers, reply.content)
     }
 
     private fun refuse(
@@ -253,16 +257,16 @@
         retryAfterMillis: Long? = null,
     ) {
         body.release()
-        val id = request.headers()[vocabulary.attemptId]
+        val id = request.headers()[headerNames.attemptId]
         val fields = mapOf("requestId" to id, "reason" to kind.name, "configuration" to catalog?.version)
         logEvent("request_refused", fields)
-        val own = answerTo(kind.notRun(retryAfterMillis = retryAfterMillis))
-        caller.answer(HttpResponseStatus.valueOf(own.status), own.headers, own.content)
+        val reply = localReplyTo(kind.notRun(retryAfterMillis = retryAfterMillis))
+        caller.respond(HttpResponseStatus.valueOf(reply.status), reply.headers, reply.content)
     }
 
     override fun tick() {
-        upstreams.refresh(heard())
-        dispatch.tick()
+        upstreams.refresh(knownUpstreams())
+        dispatcher.tick()
         if (++ticks % TICKS_PER_PRUNE == 0L) prune()
     }
 
@@ -287,7 +291,7 @@
     "sequence" to upstream.sequence,
 )
 
-/** Returns a number from 0 up to 1 that depends on [text] alone. */
+/** Returns a hash of [text] in the range from 0 (inclusive) to 1 (exclusive). */
 internal fun unitHash(text: String): Double =
     (Hashing.komihash5_0().hashCharsToLong(text) ushr UNIT_SHIFT).toDouble() / (1L shl UNIT_BITS)
 
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/HttpEndpoint.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/HttpEndpoint.kt
@@ -1,6 +1,6 @@
 /*
- * A small HTTP server for whole requests and whole answers, on the gateway's event loop: what operators, upstreams,
- * health checks and metrics scrapers call.
+ * A small HTTP server for fully buffered requests and responses that runs on the gateway's event loop. It serves
+ * operators, upstreams, health checks and metrics scrapers.
  */
 package io.carawaytrack.gateway
 
@@ -26,33 +26,33 @@
 import io.netty.handler.codec.http.HttpUtil
 import io.netty.handler.codec.http.HttpVersion
 
-/** Largest body of a call, in bytes: an operator's largest document with room to spare. */
+/** Maximum size of a request body; it leaves a margin above the largest configuration document of an operator. */
 private const val MAX_BODY_BYTES = 8 * 1024 * 1024
 
-/** Holds a call; [path] has no query. */
-public class EndpointCall(
+/** A request to an endpoint; [path] excludes the query. */
+public class EndpointRequest(
     public val method: String,
     public val path: String,
     public val body: ByteArray,
 )
 
 /**
- * Holds an answer to a call.
+ * The response to an [EndpointRequest].
  *
- * @property location address to call instead, for redirects
+ * @property location target of a redirect
  */
-public class EndpointAnswer(
+public class EndpointResponse(
     public val status: Int,
     public val body: ByteArray = ByteArray(0),
     public val contentType: String = "application/json",
     public val location: String? = null,
 )
 
-/** Serves [handle] on [address]; the handler answers at once or later, on the event loop. */
+/** Serves [handler] on [address]; the handler responds immediately or later, on the event loop. */
 public fun serveEndpoint(
     address: HostPort,
     group: EventLoopGroup,
-    handle: (EndpointCall, (EndpointAnswer) -> Unit) -> Unit,
+    handler: (EndpointRequest, (EndpointResponse) -> Unit) -> Unit,
 ): AutoCloseable {
     val initializer =
         object : ChannelInitializer<SocketChannel>() {
@@ -60,7 +60,7 @@
                 channel.pipeline().addLast(
                     HttpServerCodec(),
                     HttpObjectAggregator(MAX_BODY_BYTES),
-                    EndpointHandler(handle),
+                    EndpointHandler(handler),
                 )
             }
         }
@@ -78,36 +78,36 @@
 }
 
 private class EndpointHandler(
-    private val handle: (EndpointCall, (EndpointAnswer) -> Unit) -> Unit,
+    private val handler: (EndpointRequest, (EndpointResponse) -> Unit) -> Unit,
 ) : SimpleChannelInboundHandler<FullHttpRequest>() {
     override fun channelRead0(
         context: ChannelHandlerContext,
         request: FullHttpRequest,
     ) {
         if (request.decoderResult().isFailure) {
-            answer(context, EndpointAnswer(HttpResponseStatus.BAD_REQUEST.code()), keepAlive = false)
+            respond(context, EndpointResponse(HttpResponseStatus.BAD_REQUEST.code()), keepAlive = false)
             return
         }
         val keepAlive = HttpUtil.isKeepAlive(request)
         val body = ByteArray(request.content().readableBytes()).also(request.content()::readBytes)
-        val call = EndpointCall(request.method().name(), request.uri().substringBefore('?'), body)
-        handle(call) { answer(context, it, keepAlive) }
+        val call = EndpointRequest(request.method().name(), request.uri().substringBefore('?'), body)
+        handler(call) { respond(context, it, keepAlive) }
     }
 
-    private fun answer(
+    private fun respond(
         context: ChannelHandlerContext,
-        answer: EndpointAnswer,
+        response: EndpointResponse,
         keepAlive: Boolean,
     ) {
-        val content = Unpooled.wrappedBuffer(answer.body)
-        val status = HttpResponseStatus.valueOf(answer.status)
-        val response = DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content)
-        val headers = response.headers()
-        if (answer.body.isNotEmpty()) headers[HttpHeaderNames.CONTENT_TYPE] = answer.contentType
-        answer.location?.let { headers[HttpHeaderNames.LOCATION] = it }
-        HttpUtil.setContentLength(response, answer.body.size.toLong())
+        val content = Unpooled.wrappedBuffer(response.body)
+        val status = HttpResponseStatus.valueOf(response.status)
+        val message = DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content)
+        val headers = message.headers()
+        if (response.body.isNotEmpty()) headers[HttpHeaderNames.CONTENT_TYPE] = response.contentType
+        response.location?.let { headers[HttpHeaderNames.LOCATION] = it }
+        HttpUtil.setContentLength(message, response.body.size.toLong())
         if (!keepAlive) headers[HttpHeaderNames.CONNECTION] = HttpHeaderValues.CLOSE
-        val sent = context.writeAndFlush(response)
+        val sent = context.writeAndFlush(message)
         if (!keepAlive) sent.addListener(ChannelFutureListener.CLOSE)
     }
 
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamConnections.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamConnections.kt
@@ -1,7 +1,7 @@
 /*
- * Connections to upstreams. A connection carries one request at a time and is kept for the next one only after an
- * answer that ended where it should. What happens to an attempt is told exactly: whether a byte of it can have left,
- * whether the answer is complete, and what arrived out of place.
+ * Connections to upstreams. A connection processes one request at a time and is reused only after a response that ended
+ * as declared by its framing. The outcome of an attempt is reported precisely: whether any byte of it may have been
+ * sent, whether the response is complete, and whether unexpected data arrived.
  */
 package io.carawaytrack.gateway
 
@@ -26,20 +26,20 @@
 import io.netty.handler.codec.http.LastHttpContent
 import io.netty.util.ReferenceCountUtil
 
-/** Bound on the opening of a connection to an upstream, in milliseconds: some hundred round trips. */
+/** Timeout for opening a connection to an upstream: some hundred round trips. */
 private const val CONNECT_TIMEOUT_MILLIS = 350
 
-/** Time for which an idle connection is kept where the upstream states none, in milliseconds. */
-private const val DEFAULT_KEPT_MILLIS = 4_000L
+/** Keep-alive time of an idle connection when the upstream specifies none. */
+private const val DEFAULT_KEEP_ALIVE_MILLIS = 4_000L
 
-/** Time before the stated end of an idle connection at which it is no longer used, in milliseconds. */
-private const val KEPT_MARGIN_MILLIS = 700L
+/** Margin before the end of the keep-alive time within which an idle connection is no longer used. */
+private const val KEEP_ALIVE_MARGIN_MILLIS = 700L
 
-/** Idle time up to which a connection may carry a request that can't be repeated, in milliseconds. */
-private const val FRESH_MILLIS = 250L
+/** Maximum idle time of a connection that is reused for a request that cannot be retried. */
+private const val NON_RETRYABLE_MAX_IDLE_MILLIS = 250L
 
-/** Idle connections kept for one upstream; the hosts share its limit on connections. */
-private const val MAX_IDLE = 12
+/** Maximum number of idle connections to one upstream, whose connection limit is shared by the hosts. */
+private const val MAX_IDLE_CONNECTIONS = 12
 
 private const val MAX_LINE_BYTES = 8_192
 private const val MAX_HEADER_BYTES = 65_536
@@ -47,54 +47,54 @@
 private const val MILLIS_PER_SECOND = 1_000L
 private const val KEEP_ALIVE = "Keep-Alive"
 
-private val decoding =
+private val decoderConfig =
     HttpDecoderConfig()
         .setMaxInitialLineLength(MAX_LINE_BYTES)
         .setMaxHeaderSize(MAX_HEADER_BYTES)
         .setMaxChunkSize(MAX_CHUNK_BYTES)
 
-/** Says how an attempt ended without a complete answer. */
+/** Ways in which an attempt ends without a complete response. */
 internal enum class AttemptEnd {
-    /** No connection could be opened: nothing was sent. */
+    /** No connection could be opened, so that nothing was sent. */
     NotConnected,
 
-    /** A kept connection was closed before any byte of an answer; it may have run. */
+    /** A reused connection was closed before any byte of a response; the request may have been executed. */
     ClosedUnanswered,
 
-    /** The connection broke, or what arrived was no answer to this request. */
+    /** The connection failed, or the received data was not a valid response to this request. */
     Broken,
 }
 
-/** Takes what becomes of one attempt; all calls come on the event loop. */
+/** Receives the events of one attempt; all calls are made on the event loop. */
 internal interface AttemptListener {
-    /** Takes the head of an answer that repeats the attempt's identifier, or carries none. */
-    fun head(response: HttpResponse)
+    /** Handles the head of a response that carries the attempt's identifier or none. */
+    fun onHead(response: HttpResponse)
 
-    /** Takes a part of the body, which the listener releases. */
-    fun content(bytes: ByteBuf)
+    /** Handles a part of the body, which the listener must release. */
+    fun onContent(bytes: ByteBuf)
 
-    /** Tells that the answer is complete. */
-    fun complete()
+    /** Handles the end of a complete response. */
+    fun onComplete()
 
-    /** Tells that nothing more will come. */
-    fun failed(end: AttemptEnd)
+    /** Handles the end of the attempt without a complete response; no further calls follow. */
+    fun onFailed(end: AttemptEnd)
 
-    /** Tells that all that has arrived at once has been handed over. */
-    fun flush()
+    /** Handles the end of a batch of data that arrived in one read. */
+    fun onReadComplete()
 }
 
-/** One attempt on its way; [cancel] closes its connection, upon which the upstream drops the request. */
+/** An attempt in progress; [cancel] closes its connection, which causes the upstream to cancel the request. */
 internal class Attempt(
     val request: FullHttpRequest,
     val attemptIdHeader: String,
     val listener: AttemptListener,
 ) {
     private var connection: Channel? = null
-    var over = false
+    var ended = false
         private set
 
-    fun carriedBy(carrier: Channel) {
-        connection = carrier
+    fun attachTo(channel: Channel) {
+        connection = channel
     }
 
     fun pauseReading(paused: Boolean) {
@@ -102,14 +102,14 @@
     }
 
     fun end() {
-        over = true
+        ended = true
         connection = null
     }
 
-    /** Lets go of the attempt; its listener hears nothing more. */
+    /** Cancels the attempt; its listener is no longer notified. */
     fun cancel() {
-        if (over) return
-        over = true
+        if (ended) return
+        ended = true
         connection?.close()
         connection = null
     }
@@ -121,17 +121,20 @@
 ) {
     private val idle = HashMap<HostPort, ArrayDeque<UpstreamConnection>>()
 
-    /** Sends [attempt] to [address], on a kept connection if there is one; only a fresh one where [unrepeatable]. */
+    /**
+     * Sends [attempt] to [address] on an idle connection if there is one. A [nonRetryable] attempt only uses one that
+     * has been idle for a short time, because the upstream might close it concurrently.
+     */
     fun send(
         address: HostPort,
         attempt: Attempt,
-        unrepeatable: Boolean,
+        nonRetryable: Boolean,
     ) {
-        val kept = takeIdle(address, if (unrepeatable) FRESH_MILLIS else Long.MAX_VALUE)
-        if (kept != null) kept.carry(attempt) else connect(address, attempt)
+        val pooled = takeIdle(address, if (nonRetryable) NON_RETRYABLE_MAX_IDLE_MILLIS else Long.MAX_VALUE)
+        if (pooled != null) pooled.start(attempt) else connect(address, attempt)
     }
 
-    /** Closes idle connections whose time is over. */
+    /** Closes idle connections whose keep-alive time has expired. */
     fun prune() {
         idle.values.forEach { connections ->
             connections.filter { !it.isUsable(nowMillis()) }.forEach { it.channel.close() }
@@ -140,20 +143,20 @@
         idle.values.removeIf { it.isEmpty() }
     }
 
-    /** Closes the idle connections to [address], whose holder has gone. */
-    fun forget(address: HostPort) {
+    /** Closes the idle connections to [address], whose upstream has departed. */
+    fun closeIdle(address: HostPort) {
         idle.remove(address)?.forEach { it.channel.close() }
     }
 
     private fun takeIdle(
         address: HostPort,
-        longestIdleMillis: Long,
+        maxIdleMillis: Long,
     ): UpstreamConnection? {
         val connections = idle[address] ?: return null
         while (true) {
             val newest = connections.removeLastOrNull() ?: return null
             val now = nowMillis()
-            if (newest.isUsable(now) && now - newest.idleSinceMillis <= longestIdleMillis) return newest
+            if (newest.isUsable(now) && now - newest.idleSinceMillis <= maxIdleMillis) return newest
             newest.channel.close()
         }
     }
@@ -172,33 +175,33 @@
             .connect(address.host, address.port)
             .addListener { opening ->
                 if (opening.isSuccess) {
-                    connection.carry(attempt)
+                    connection.start(attempt)
                 } else {
-                    neverSent(attempt)
+                    connectFailed(attempt)
                 }
             }
     }
 
-    private fun neverSent(attempt: Attempt) {
+    private fun connectFailed(attempt: Attempt) {
         attempt.request.release()
-        if (attempt.over) return
+        if (attempt.ended) return
         attempt.end()
-        attempt.listener.failed(AttemptEnd.NotConnected)
+        attempt.listener.onFailed(AttemptEnd.NotConnected)
     }
 
     private fun initializer(connection: UpstreamConnection) = object : ChannelInitializer<SocketChannel>() {
         override fun initChannel(channel: SocketChannel) {
             connection.channel = channel
             channel.pipeline().addLast(
-                HttpClientCodec(decoding, false, false),
+                HttpClientCodec(decoderConfig, false, false),
                 connection,
             )
         }
     }
 
-    private fun keep(connection: UpstreamConnection) {
+    private fun addIdle(connection: UpstreamConnection) {
         val connections = idle.getOrPut(connection.address) { ArrayDeque() }
-        if (connections.size >= MAX_IDLE) connection.channel.close() else connections.addLast(connection)
+        if (connections.size >= MAX_IDLE_CONNECTIONS) connection.channel.close() else connections.addLast(connection)
     }
 
     internal inner class UpstreamConnection(
@@ -207,29 +210,29 @@
         lateinit var channel: Channel
         var idleSinceMillis = 0L
             private set
-        private var keptMillis = DEFAULT_KEPT_MILLIS
+        private var keepAliveMillis = DEFAULT_KEEP_ALIVE_MILLIS
         private var attempt: Attempt? = null
         private var response: HttpResponse? = null
-        private var foreign = false
+        private var mismatched = false
         private var reused = false
-        private var heard = false
+        private var received = false
         private var reusable = true
         private var broken = false
         private var written = false
 
-        fun isUsable(now: Long) = channel.isActive && now - idleSinceMillis < keptMillis - KEPT_MARGIN_MILLIS
+        fun isUsable(now: Long) = channel.isActive && now - idleSinceMillis < keepAliveMillis - KEEP_ALIVE_MARGIN_MILLIS
 
-        fun carry(next: Attempt) {
-            if (next.over) {
+        fun start(next: Attempt) {
+            if (next.ended) {
                 next.request.release()
                 if (reused) becomeIdle() else channel.close()
                 return
             }
             attempt = next
             response = null
-            heard = false
+            received = false
             written = false
-            next.carriedBy(channel)
+            next.attachTo(channel)
             channel.config().isAutoRead = true
             channel.writeAndFlush(next.request).addListener { written = it.isSuccess }
         }
@@ -238,11 +241,11 @@
             context: ChannelHandlerContext,
             message: Any,
         ) {
-            heard = true
+            received = true
             val current = attempt
             when {
-                current == null || current.over -> {
-                    // An extra answer, or the rest of one that nobody waits for: the connection can't be trusted.
+                current == null || current.ended -> {
+                    // Surplus data after a response or a cancelled attempt: the connection cannot be reused safely.
                     ReferenceCountUtil.release(message)
                     channel.close()
                 }
@@ -267,17 +270,22 @@
             current: Attempt,
             head: HttpResponse,
         ) {
-            val named = head.headers()[current.attemptIdHeader]
+            val responseAttemptId = head.headers()[current.attemptIdHeader]
             val informational = head.status().codeClass() == HttpStatusClass.INFORMATIONAL
-            foreign = informational || (named != null && named != current.request.headers()[current.attemptIdHeader])
-            if (foreign) {
+            mismatched =
+                informational ||
+                (
+                    responseAttemptId != null &&
+                        responseAttemptId != current.request.headers()[current.attemptIdHeader]
+                )
+            if (mismatched) {
                 if (!informational) reusable = false
                 return
             }
             response = head
             reusable = reusable && HttpUtil.isKeepAlive(head) && isFramed(head)
-            head.headers()[KEEP_ALIVE]?.let { keptMillis = keptMillis(it) }
-            current.listener.head(head)
+            head.headers()[KEEP_ALIVE]?.let { keepAliveMillis = keepAliveMillis(it) }
+            current.listener.onHead(head)
         }
 
         private fun isFramed(head: HttpResponse) =
@@ -287,45 +295,45 @@
             current: Attempt,
             content: HttpContent,
         ) {
-            if (foreign) {
+            if (mismatched) {
                 content.release()
                 return
             }
-            if (current.over) {
+            if (current.ended) {
                 content.release()
                 channel.close()
                 return
             }
-            if (content.content().isReadable) current.listener.content(content.content()) else content.release()
-            if (content is LastHttpContent && !current.over) answered(current)
+            if (content.content().isReadable) current.listener.onContent(content.content()) else content.release()
+            if (content is LastHttpContent && !current.ended) responseComplete(current)
         }
 
-        private fun answered(current: Attempt) {
-            // An answer without a length that ends with a reset connection is not complete.
+        private fun responseComplete(current: Attempt) {
+            // A response without a length ends with the connection, so a reset means that it is truncated.
             if (broken) return
             attempt = null
             current.end()
             if (reusable && written && channel.isActive) becomeIdle() else channel.close()
-            current.listener.complete()
+            current.listener.onComplete()
         }
 
         private fun becomeIdle() {
             reused = true
             idleSinceMillis = nowMillis()
-            keep(this)
+            addIdle(this)
         }
 
         override fun channelReadComplete(context: ChannelHandlerContext) {
-            attempt?.takeIf { !it.over }?.listener?.flush()
+            attempt?.takeIf { !it.ended }?.listener?.onReadComplete()
         }
 
         override fun channelInactive(context: ChannelHandlerContext) {
             idle[address]?.remove(this)
             val current = attempt ?: return
             attempt = null
-            if (current.over) return
+            if (current.ended) return
             current.end()
-            current.listener.failed(if (reused && !heard) AttemptEnd.ClosedUnanswered else AttemptEnd.Broken)
+            current.listener.onFailed(if (reused && !received) AttemptEnd.ClosedUnanswered else AttemptEnd.Broken)
         }
 
         @Deprecated("Netty's own signature")
@@ -338,9 +346,9 @@
             context.close()
         }
 
-        private fun keptMillis(header: String): Long {
-            val stated = header.substringAfter("timeout=", "").takeWhile(Char::isDigit).toLongOrNull()
-            return stated?.let { it * MILLIS_PER_SECOND } ?: DEFAULT_KEPT_MILLIS
+        private fun keepAliveMillis(header: String): Long {
+            val advertised = header.substringAfter("timeout=", "").takeWhile(Char::isDigit).toLongOrNull()
+            return advertised?.let { it * MILLIS_PER_SECOND } ?: DEFAULT_KEEP_ALIVE_MILLIS
         }
     }
 }
--- /dev/null
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/WaitQueue.kt
@@ -0,0 +1,62 @@
+/*
+ * Queue of requests that no upstream can accept at the moment. It absorbs several seconds of more requests than slots,
+ * a burst, or the crash of part of a pool. More urgent requests are dispatched first; among equally urgent requests,
+ * those that can still meet their latency target precede late ones, in order of arrival.
+ */
+package io.carawaytrack.gateway
+
+/** Maximum number of queued requests on one host; beyond it, the least urgent request is refused. */
+private const val MAX_QUEUED = 512
+
+/**
+ * Describes a queued request.
+ *
+ * @property rank urgency, 0 is the most urgent
+ * @property onTimeUntilMillis time after which a response misses the latency target
+ * @property maxWaitMillis maximum time in the queue after which a useful response can still be expected
+ */
+internal interface QueuedRequest {
+    val rank: Int
+    val arrivedAtMillis: Long
+    val onTimeUntilMillis: Long
+    val maxWaitMillis: Long
+}
+
+internal class WaitQueue<W : QueuedRequest>(
+    private val nowMillis: () -> Long,
+) {
+    private val queued = ArrayList<W>()
+
+    val size: Int get() = queued.size
+
+    /** Adds [request] and returns the requests that are removed because the queue is full. */
+    fun add(request: W): List<W> {
+        queued += request
+        if (queued.size <= MAX_QUEUED) return emptyList()
+        queued.sortWith(order(nowMillis()))
+        return listOf(queued.removeLast())
+    }
+
+    fun remove(request: W): Boolean = queued.remove(request)
+
+    /** Passes the queued requests to [accept] in order and removes those that it accepts. */
+    fun offer(accept: (W) -> Boolean) {
+        if (queued.isEmpty()) return
+        queued.sortWith(order(nowMillis()))
+        val offered = queued.toList()
+        queued.clear()
+        // An accepted request may fail at once and be queued again while the loop is running.
+        offered.filterTo(ArrayList()) { !accept(it) }.let { queued.addAll(0, it) }
+    }
+
+    /** Removes and returns the requests that have reached their maximum wait. */
+    fun expired(): List<W> {
+        val now = nowMillis()
+        val timedOut = queued.filter { now - it.arrivedAtMillis >= it.maxWaitMillis }
+        queued.removeAll(timedOut.toSet())
+        return timedOut
+    }
+
+    private fun order(now: Long): Comparator<W> =
+        compareBy({ it.rank }, { now > it.onTimeUntilMillis }, { it.arrivedAtMillis })
+}
--- a/gateway/src/test/kotlin/io/carawaytrack/gateway/Loopback.kt
+++ b/gateway/src/test/kotlin/io/carawaytrack/gateway/Loopback.kt
@@ -1,5 +1,5 @@
 /*
- * A stand-in for an upstream and a plain caller, over loopback sockets, for the tests of the gateway.
+ * A fake upstream and a simple caller over loopback sockets for the gateway's tests.
  */
 package io.carawaytrack.gateway
 
@@ -15,9 +15,9 @@
 import java.util.concurrent.TimeUnit
 import kotlin.concurrent.thread
 
-internal const val LIMIT_SECONDS = 20L
+internal const val TIMEOUT_SECONDS = 20L
 
-/** A message as it came over a socket. */
+/** An HTTP message as read from a socket. */
 internal class RawMessage(
     val start: String,
     val headers: Map<String, String>,
@@ -36,7 +36,7 @@
     }
 }
 
-/** Reads a message; null at the end of the connection. */
+/** Reads a message; returns null at the end of the connection. */
 internal fun readMessage(input: InputStream): RawMessage? {
     val start = readLine(input)?.takeIf { it.isNotEmpty() } ?: return null
     val headers =
@@ -60,15 +60,15 @@
     }
 }
 
-/** An upstream that answers each request by [answer]; a connection ends when the function returns false. */
+/** An upstream that serves each request with [respond]; a connection is closed when the function returns false. */
 internal class FakeUpstream(
-    private val answer: (RawMessage, OutputStream, Socket) -> Boolean,
+    private val respond: (RawMessage, OutputStream, Socket) -> Boolean,
 ) : AutoCloseable {
     private val server = ServerSocket(0)
     val address = HostPort("127.0.0.1", server.localPort)
     val requests = LinkedBlockingQueue<RawMessage>()
 
-    /** Receives an entry when the other side has closed a connection on which an answer is still being written. */
+    /** Receives an entry when the peer has closed a connection on which a response is still being written. */
     val closedByPeer = LinkedBlockingQueue<String>()
 
     init {
@@ -85,27 +85,27 @@
 
     private fun serve(socket: Socket) = socket.use {
         try {
-            answerAll(it, BufferedInputStream(it.getInputStream()))
+            serveRequests(it, BufferedInputStream(it.getInputStream()))
         } catch (_: IOException) {
             closedByPeer += "closed"
         }
     }
 
-    private fun answerAll(
+    private fun serveRequests(
         socket: Socket,
         input: InputStream,
     ) {
         while (true) {
             val request = readMessage(input) ?: return
             requests += request
-            if (!answer(request, socket.getOutputStream(), socket)) return
+            if (!respond(request, socket.getOutputStream(), socket)) return
         }
     }
 
     override fun close() = server.close()
 }
 
-/** Sends one request on a connection of its own. */
+/** A caller with its own connection. */
 internal class FakeCaller(
     address: HostPort,
 ) : AutoCloseable {
@@ -113,7 +113,7 @@
     private val input = BufferedInputStream(socket.getInputStream())
 
     init {
-        socket.soTimeout = TimeUnit.SECONDS.toMillis(LIMIT_SECONDS).toInt()
+        socket.soTimeout = TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS).toInt()
     }
 
     fun send(text: String) {
@@ -121,7 +121,7 @@
         socket.getOutputStream().flush()
     }
 
-    fun answer(): RawMessage? = readMessage(input)
+    fun response(): RawMessage? = readMessage(input)
 
     override fun close() = socket.close()
 }
--- a/gateway/src/test/kotlin/io/carawaytrack/gateway/UpstreamStateTest.kt
+++ b/gateway/src/test/kotlin/io/carawaytrack/gateway/UpstreamStateTest.kt
@@ -1,5 +1,5 @@
 /*
- * What an upstream owes, whether it is suspected, and how often it may be started while it is cold.
+ * Suspicion of unresponsive upstreams, the rate limit for cold upstreams, and the load estimate.
  */
 package io.carawaytrack.gateway
 
@@ -39,57 +39,58 @@
 
     private class Case(
         val name: String,
-        val quietMillis: Long,
-        val suspect: Boolean,
+        val unansweredMillis: Long,
+        val suspected: Boolean,
     )
 
     @TestFactory
-    fun `an upstream is suspected when it has owed a byte for long`(): List<DynamicTest> = listOf(
-        Case("one that has been quiet for a moment isn't", quietMillis = 800, suspect = false),
-        Case("one that has been quiet for a second is", quietMillis = 1_000, suspect = true),
-    ).map { case ->
-        dynamicTest(case.name) {
-            val state = UpstreamState(known(nowMillis), { nowMillis })
-            state.started()
-            nowMillis += case.quietMillis
-            expectThat(state.isSuspect).isEqualTo(case.suspect)
+    fun `an upstream with outstanding requests is suspected when no byte arrives for long`(): List<DynamicTest> =
+        listOf(
+            Case("no byte for less than the limit", unansweredMillis = 800, suspected = false),
+            Case("no byte for more than the limit", unansweredMillis = 1_000, suspected = true),
+        ).map { case ->
+            dynamicTest(case.name) {
+                val state = UpstreamState(known(nowMillis), { nowMillis })
+                state.requestStarted()
+                nowMillis += case.unansweredMillis
+                expectThat(state.isSuspectedUnhealthy).isEqualTo(case.suspected)
+            }
         }
-    }
 
     @Test
-    fun `an upstream that sends something is suspected no longer`() {
+    fun `an upstream is no longer suspected when bytes arrive`() {
         val state = UpstreamState(known(nowMillis), { nowMillis })
-        state.started()
+        state.requestStarted()
         nowMillis += 1_000
-        state.answered()
-        expectThat(state.isSuspect).isFalse()
+        state.bytesReceived()
+        expectThat(state.isSuspectedUnhealthy).isFalse()
     }
 
     @Test
-    fun `an upstream that owes nothing is never suspected`() {
+    fun `an upstream without outstanding requests is never suspected`() {
         val state = UpstreamState(known(nowMillis), { nowMillis })
-        state.started()
-        state.ended()
+        state.requestStarted()
+        state.requestEnded()
         nowMillis += 60_000
-        expectThat(state.isSuspect).isFalse()
+        expectThat(state.isSuspectedUnhealthy).isFalse()
     }
 
     @Test
-    fun `a cold upstream is started no more often than its rate`() {
+    fun `requests to a cold upstream are limited to its rate`() {
         val state = UpstreamState(known(nowMillis), { nowMillis })
-        expectThat(state.takeColdStart(perSecond = 2.0)).isTrue()
+        expectThat(state.tryColdStart(perSecond = 2.0)).isTrue()
         nowMillis += 400
-        expectThat(state.takeColdStart(perSecond = 2.0)).isFalse()
+        expectThat(state.tryColdStart(perSecond = 2.0)).isFalse()
         nowMillis += 200
-        expectThat(state.takeColdStart(perSecond = 2.0)).isTrue()
+        expectThat(state.tryColdStart(perSecond = 2.0)).isTrue()
     }
 
     @Test
-    fun `own requests since a report count on top of it`() {
+    fun `own requests since a load report are added to it`() {
         val state = UpstreamState(known(nowMillis), { nowMillis })
-        state.started()
-        state.reported(ReportedLoad(running = 10, waiting = 2, slots = 64))
-        repeat(3) { state.started() }
+        state.requestStarted()
+        state.applyLoadReport(ReportedLoad(running = 10, waiting = 2, slots = 64))
+        repeat(3) { state.requestStarted() }
         expectThat(state.estimatedLoad()).isEqualTo(15)
     }
 }
