--- a/agent/src/main/kotlin/io/carawaytrack/agent/Agent.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/Agent.kt
@@ -139,7 +139,7 @@
     /** Refuses new attempts, announces the shutdown, waits for running attempts and commits all unsettled outcomes. */
     private suspend fun drain() {
         admissionCheck.shuttingDown = true
-        control.hurry()
+        control.sendHeartbeatNow()
         val drained =
             withTimeoutOrNull(process.drainMillis) {
                 entryService.awaitIdle()
--- a/agent/src/test/kotlin/io/carawaytrack/agent/AgentFixture.kt
+++ b/agent/src/test/kotlin/io/carawaytrack/agent/AgentFixture.kt
@@ -80,7 +80,7 @@
 
     override fun start() = Unit
 
-    override fun hurry() = Unit
+    override fun sendHeartbeatNow() = Unit
 
     override suspend fun commit(
         command: ByteArray,
--- a/membership/src/main/kotlin/io/carawaytrack/membership/ControlClient.kt
+++ b/membership/src/main/kotlin/io/carawaytrack/membership/ControlClient.kt
@@ -41,10 +41,10 @@
 private val logger = KotlinLogging.logger {}
 
 /** Interval between two heartbeats, in milliseconds. */
-public const val HEARTBEAT_MILLIS: Long = 500
+public const val HEARTBEAT_INTERVAL_MILLIS: Long = 500
 
 /** Time after which an unanswered heartbeat sends the holder to another control host, in milliseconds. */
-public const val CONTROL_SILENCE_MILLIS: Long = 1_500
+public const val CONTROL_TIMEOUT_MILLIS: Long = 1_500
 
 private const val RECONNECT_MILLIS = 100L
 
@@ -60,7 +60,7 @@
     public fun start()
 
     /** Sends a heartbeat now instead of at the next interval, for news that should not wait. */
-    public fun hurry()
+    public fun sendHeartbeatNow()
 
     /**
      * Commits a ledger [command], trying again until [timeoutMillis] have passed; the command must be idempotent. Fails
@@ -176,15 +176,15 @@
 
     private suspend fun beat(session: ControlSession) {
         while (true) {
-            if (session.silentMillis() > CONTROL_SILENCE_MILLIS) {
+            if (session.silentMillis() > CONTROL_TIMEOUT_MILLIS) {
                 logger.warn {
-                    "expected a lease from ${session.link.peer.node} within $CONTROL_SILENCE_MILLIS ms, trying others"
+                    "expected a lease from ${session.link.peer.node} within $CONTROL_TIMEOUT_MILLIS ms, trying others"
                 }
                 session.link.close()
                 return
             }
             session.link.send(heartbeat(session))
-            withTimeoutOrNull(HEARTBEAT_MILLIS) { session.hurried.receive() }
+            withTimeoutOrNull(HEARTBEAT_INTERVAL_MILLIS) { session.hurried.receive() }
         }
     }
 
@@ -196,7 +196,7 @@
         suspects = ports.suspects()?.let(session::ifNews),
     )
 
-    override fun hurry() {
+    override fun sendHeartbeatNow() {
         current.get()?.hurried?.trySend(Unit)
     }
 
--- a/membership/src/test/kotlin/io/carawaytrack/membership/ControlClientTest.kt
+++ b/membership/src/test/kotlin/io/carawaytrack/membership/ControlClientTest.kt
@@ -152,7 +152,7 @@
             withHosts { link ->
                 val first = link.sentOf<Heartbeat>()
                 nowMillis.addAndGet(500)
-                client.hurry()
+                client.sendHeartbeatNow()
                 val second = link.sentOf<Heartbeat>()
                 nowMillis.addAndGet(100)
                 case.grants(first.sequence, second.sequence).forEach(link::deliver)
@@ -166,11 +166,11 @@
     fun `what an agent holds against requests goes out once, and again when it has changed`() = withHosts { link ->
         listOf(7L, 8L).map { SuspectReport(NodeId("agent-1"), it, emptyList()) }.forEach { report ->
             suspects.set(report)
-            client.hurry()
+            client.sendHeartbeatNow()
             var heartbeat = link.sentOf<Heartbeat>()
             while (heartbeat.suspects == null) heartbeat = link.sentOf<Heartbeat>()
             expectThat(heartbeat.suspects).isEqualTo(report)
-            client.hurry()
+            client.sendHeartbeatNow()
             expectThat(link.sentOf<Heartbeat>().suspects).isNull()
         }
     }
@@ -194,8 +194,8 @@
     @Test
     fun `a silent control host is left for another`() = withHosts { link ->
         link.sentOf<Heartbeat>()
-        nowMillis.addAndGet(CONTROL_SILENCE_MILLIS + 1)
-        client.hurry()
+        nowMillis.addAndGet(CONTROL_TIMEOUT_MILLIS + 1)
+        client.sendHeartbeatNow()
         link.closed.await()
         expectThat(dialled().first).isEqualTo(secondHost)
     }
