--- a/membership/src/main/kotlin/io/carawaytrack/membership/ControlClient.kt
+++ b/membership/src/main/kotlin/io/carawaytrack/membership/ControlClient.kt
@@ -1,7 +1,7 @@
 /*
- * The side of an entry or agent that talks to the control hosts: it finds the leading one, sends heartbeats, takes in
- * configurations and memberships, and commits ledger commands. A configuration is taken in only when its number is
- * higher than the one held, whichever way it comes.
+ * Connects an entry or agent to the control hosts: finds the leader, sends heartbeats, receives configurations and
+ * memberships, and commits ledger commands. A configuration replaces the current one only if its number is higher,
+ * whether it arrives in a push or in a lease grant.
  */
 package io.carawaytrack.membership
 
@@ -40,31 +40,31 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** Interval between two heartbeats, in milliseconds. */
+/** Interval between heartbeats, in milliseconds. */
 public const val HEARTBEAT_INTERVAL_MILLIS: Long = 500
 
-/** Time after which an unanswered heartbeat sends the holder to another control host, in milliseconds. */
+/** Time without a lease grant after which the client connects to another control host, in milliseconds. */
 public const val CONTROL_TIMEOUT_MILLIS: Long = 1_500
 
-private const val RECONNECT_MILLIS = 100L
+private const val RECONNECT_DELAY_MILLIS = 100L
 
-/** Connects a process to the control hosts. */
+/** Client of the control hosts. */
 public interface ControlClient : AutoCloseable {
-    /** Configuration in force, as far as this process knows. */
+    /** Latest configuration that this process has received. */
     public val configuration: Configuration
 
-    /** Lease under which this process places new work. */
+    /** Lease that permits this process to place new work. */
     public val lease: Lease
 
-    /** Begins to look for the leading control host. */
+    /** Starts connecting to the leading control host. */
     public fun start()
 
-    /** Sends a heartbeat now instead of at the next interval, for news that should not wait. */
+    /** Sends a heartbeat at once instead of at the next interval, for updates that should not be delayed. */
     public fun sendHeartbeatNow()
 
     /**
-     * Commits a ledger [command], trying again until [timeoutMillis] have passed; the command must be idempotent. Fails
-     * with `ControlUnavailable`, which says `MayHaveRun` once the command may have reached a control host.
+     * Commits a ledger [command], with retries until [timeoutMillis] have passed; the command must be idempotent. Fails
+     * with `ControlUnavailable`, and with `MayHaveRun` once the command may have reached a control host.
      */
     public suspend fun commit(
         command: ByteArray,
@@ -73,10 +73,10 @@
 }
 
 /**
- * Holds what the client needs from the process around it.
+ * Connects a [ControlClient] to the process that it runs in.
  *
- * @property announcement what an agent tells of its upstream; null for an entry
- * @property suspects what an agent holds against requests; null for an entry
+ * @property announcement returns an agent's announcement of its upstream, or null for an entry
+ * @property suspects returns an agent's report of suspect requests, or null for an entry
  */
 public data class ControlClientPorts(
     val connect: suspend (HostPort) -> Result<Link, Failure>,
@@ -88,7 +88,7 @@
     val onSuspects: (SuspectReport) -> Unit = {},
 )
 
-/** Creates a client of the control hosts at [addresses]; it does nothing until it is started. */
+/** Creates a client of the control hosts at [addresses]. It connects once [ControlClient.start] is called. */
 public fun ControlClient(
     addresses: List<HostPort>,
     ports: ControlClientPorts,
@@ -99,16 +99,16 @@
     private val ports: ControlClientPorts,
 ) : ControlClient {
     private val scope = CoroutineScope(SupervisorJob() + Dispatchers.Default)
-    private val held = AtomicReference(Configuration())
-    private val renewable = RenewableLease(ports.nowMillis)
-    private val current = AtomicReference<ControlSession?>(null)
-    private val calls = AtomicLong()
+    private val currentConfiguration = AtomicReference(Configuration())
+    private val renewableLease = RenewableLease(ports.nowMillis)
+    private val currentSession = AtomicReference<ControlSession?>(null)
+    private val lastCallId = AtomicLong()
 
     @Volatile
     private var membershipNumber = 0L
 
-    override val configuration: Configuration get() = held.get()
-    override val lease: Lease get() = renewable
+    override val configuration: Configuration get() = currentConfiguration.get()
+    override val lease: Lease get() = renewableLease
 
     override fun start() {
         scope.launch { stayConnected() }
@@ -120,84 +120,88 @@
         while (scope.isActive) {
             val address = hint ?: addresses[next++ % addresses.size]
             hint = ports.connect(address).mapOrNull { link -> link.use { serve(it) } }
-            if (hint == null) delay(RECONNECT_MILLIS)
+            if (hint == null) delay(RECONNECT_DELAY_MILLIS)
         }
     }
 
     private suspend fun serve(link: Link): HostPort? = coroutineScope {
         val session = ControlSession(link, ports.nowMillis)
-        val beating = launch { beat(session) }
-        current.set(session)
+        val heartbeats = launch { sendHeartbeats(session) }
+        currentSession.set(session)
         try {
             receiveAll(session)
         } finally {
-            current.compareAndSet(session, null)
+            currentSession.compareAndSet(session, null)
             session.fail()
-            beating.cancel()
+            heartbeats.cancel()
         }
     }
 
-    /** Takes in messages until the link closes; returns the leader's address when this host does not lead. */
+    /**
+     * Handles messages until the link closes or the host reports that it does not lead. Returns the address of the
+     * leader if the host has named one.
+     */
     private suspend fun receiveAll(session: ControlSession): HostPort? {
         while (true) {
             when (val message = session.link.receive() ?: return null) {
-                is LeaseGrant -> grant(session, message)
-                is ConfigurationPush -> accept(message.configuration)
+                is LeaseGrant -> handleGrant(session, message)
+                is ConfigurationPush -> updateConfiguration(message.configuration)
                 is LedgerReply -> session.complete(message)
                 is NotLeading -> return message.leader
                 else ->
                     logger.warn {
-                        "ignored an unexpected ${message::class.simpleName} from ${session.link.peer.node}"
+                        "ignored unexpected ${message::class.simpleName} from ${session.link.peer.node}"
                     }
             }
         }
     }
 
-    private fun grant(
+    private fun handleGrant(
         session: ControlSession,
         message: LeaseGrant,
     ) {
-        val sentAtMillis = session.answered(message.sequence) ?: return
-        message.configuration?.let(::accept)
+        val sentAtMillis = session.completeHeartbeat(message.sequence) ?: return
+        message.configuration?.let(::updateConfiguration)
         message.membership?.let { membership ->
             membershipNumber = membership.number
             ports.onMembership(membership)
         }
         message.suspects.forEach(ports.onSuspects)
-        // A grant speaks for the configuration it names; without that one the holder would place work on an older one.
+        // A grant applies only to the configuration it names; without that, new work would use an older configuration.
         if (configuration.number < message.configurationNumber) return
-        renewable.renew(sentAtMillis, message.durationMillis)
+        renewableLease.renew(sentAtMillis, message.durationMillis)
     }
 
-    private fun accept(configuration: Configuration) {
-        val accepted = held.updateAndGet { if (configuration.number > it.number) configuration else it }
-        if (accepted === configuration) ports.onConfiguration(configuration)
+    private fun updateConfiguration(configuration: Configuration) {
+        val latest = currentConfiguration.updateAndGet { if (configuration.number > it.number) configuration else it }
+        if (latest === configuration) ports.onConfiguration(configuration)
     }
 
-    private suspend fun beat(session: ControlSession) {
+    private suspend fun sendHeartbeats(session: ControlSession) {
         while (true) {
-            if (session.silentMillis() > CONTROL_TIMEOUT_MILLIS) {
+            if (session.millisSinceLastGrant() > CONTROL_TIMEOUT_MILLIS) {
                 logger.warn {
-                    "expected a lease from ${session.link.peer.node} within $CONTROL_TIMEOUT_MILLIS ms, trying others"
+                    "no lease grant from ${session.link.peer.node} within $CONTROL_TIMEOUT_MILLIS ms, " +
+                        "connecting to another control host"
                 }
                 session.link.close()
                 return
             }
             session.link.send(heartbeat(session))
-            withTimeoutOrNull(HEARTBEAT_INTERVAL_MILLIS) { session.hurried.receive() }
+            withTimeoutOrNull(HEARTBEAT_INTERVAL_MILLIS) { session.heartbeatRequests.receive() }
         }
     }
 
     private fun heartbeat(session: ControlSession) = Heartbeat(
-        sequence = session.sent(),
+        sequence = session.startHeartbeat(),
         configurationNumber = configuration.number,
         announcement = ports.announcement(),
         membershipNumber = session.membershipNumber(membershipNumber),
-        suspects = ports.suspects()?.let(session::ifNews),
+        suspects = ports.suspects()?.let(session::takeIfNew),
     )
 
     override fun sendHeartbeatNow() {
-        current.get()?.hurried?.trySend(Unit)
+        currentSession.get()?.heartbeatRequests?.trySend(Unit)
     }
 
     override suspend fun commit(
@@ -212,7 +216,7 @@
                     val session = awaitSession()
                     mayHaveRun = true
                     answer = call(session, command)
-                    if (answer == null) delay(RECONNECT_MILLIS)
+                    if (answer == null) delay(RECONNECT_DELAY_MILLIS)
                 }
                 answer
             }
@@ -224,8 +228,8 @@
 
     private suspend fun awaitSession(): ControlSession {
         while (true) {
-            current.get()?.let { return it }
-            delay(RECONNECT_MILLIS)
+            currentSession.get()?.let { return it }
+            delay(RECONNECT_DELAY_MILLIS)
         }
     }
 
@@ -233,10 +237,10 @@
         session: ControlSession,
         command: ByteArray,
     ): ByteArray? {
-        val id = calls.incrementAndGet()
-        val waiting = session.await(id)
+        val id = lastCallId.incrementAndGet()
+        val reply = session.registerCall(id)
         if (!session.link.send(LedgerCall(id, command))) return null
-        return waiting.await()
+        return reply.await()
     }
 
     override fun close() {
--- a/membership/src/main/kotlin/io/carawaytrack/membership/ControlSession.kt
+++ b/membership/src/main/kotlin/io/carawaytrack/membership/ControlSession.kt
@@ -1,6 +1,6 @@
 /*
- * One connection to a control host: which heartbeats are unanswered, which ledger calls are waiting, and what the host
- * has been told.
+ * State of one connection to a control host: unanswered heartbeats, pending ledger calls and the last suspect report
+ * sent.
  */
 package io.carawaytrack.membership
 
@@ -16,13 +16,13 @@
     val link: Link,
     private val nowMillis: () -> Long,
 ) {
-    val hurried = Channel<Unit>(Channel.CONFLATED)
+    val heartbeatRequests = Channel<Unit>(Channel.CONFLATED)
     private val sentAtMillis = ConcurrentHashMap<Long, Long>()
-    private val pending = ConcurrentHashMap<Long, CompletableDeferred<ByteArray?>>()
-    private val sequence = AtomicLong()
+    private val pendingCalls = ConcurrentHashMap<Long, CompletableDeferred<ByteArray?>>()
+    private val lastSequence = AtomicLong()
 
     @Volatile
-    private var heardAtMillis = nowMillis()
+    private var lastGrantAtMillis = nowMillis()
 
     @Volatile
     private var failed = false
@@ -30,49 +30,52 @@
     @Volatile
     private var hasMembership = false
 
-    private var suspectsSequence = 0L
+    private var lastSuspectsSequence = 0L
 
-    fun sent(): Long {
-        val number = sequence.incrementAndGet()
-        sentAtMillis[number] = nowMillis()
-        return number
+    fun startHeartbeat(): Long {
+        val sequence = lastSequence.incrementAndGet()
+        sentAtMillis[sequence] = nowMillis()
+        return sequence
     }
 
-    /** Returns when the heartbeat [sequence] was sent, once; later answers to the same one count for nothing. */
-    fun answered(sequence: Long): Long? {
-        heardAtMillis = nowMillis()
-        val sentAt = sentAtMillis.remove(sequence)
+    /**
+     * Returns when the heartbeat [sequence] was sent, or null if it was never sent or if it or a later one has already
+     * been answered.
+     */
+    fun completeHeartbeat(sequence: Long): Long? {
+        lastGrantAtMillis = nowMillis()
+        val heartbeatSentAtMillis = sentAtMillis.remove(sequence)
         sentAtMillis.keys.removeIf { it < sequence }
         hasMembership = true
-        return sentAt
+        return heartbeatSentAtMillis
     }
 
-    fun silentMillis(): Long = nowMillis() - heardAtMillis
+    fun millisSinceLastGrant(): Long = nowMillis() - lastGrantAtMillis
 
-    /** Numbers of memberships are one leader's own, so a new connection starts from none. */
+    /** Returns [number], or 0 until this host has sent a grant, since each leader numbers memberships on its own. */
     fun membershipNumber(number: Long): Long = if (hasMembership) number else 0
 
-    /** Returns [report] the first time that it is seen on this link, so that a steady state costs nothing. */
-    fun ifNews(report: SuspectReport): SuspectReport? {
-        if (report.sequence == suspectsSequence) return null
-        suspectsSequence = report.sequence
+    /** Returns [report] unless it was the last one sent on this link, so that an unchanged report is not sent again. */
+    fun takeIfNew(report: SuspectReport): SuspectReport? {
+        if (report.sequence == lastSuspectsSequence) return null
+        lastSuspectsSequence = report.sequence
         return report
     }
 
-    fun await(call: Long): CompletableDeferred<ByteArray?> {
-        val waiting = CompletableDeferred<ByteArray?>()
-        pending[call] = waiting
+    fun registerCall(call: Long): CompletableDeferred<ByteArray?> {
+        val reply = CompletableDeferred<ByteArray?>()
+        pendingCalls[call] = reply
         if (failed) fail()
-        return waiting
+        return reply
     }
 
     fun complete(reply: LedgerReply) {
-        pending.remove(reply.call)?.complete(reply.reply)
+        pendingCalls.remove(reply.call)?.complete(reply.reply)
     }
 
     fun fail() {
         failed = true
-        pending.values.forEach { it.complete(null) }
-        pending.clear()
+        pendingCalls.values.forEach { it.complete(null) }
+        pendingCalls.clear()
     }
 }
--- a/membership/src/main/kotlin/io/carawaytrack/membership/Lease.kt
+++ b/membership/src/main/kotlin/io/carawaytrack/membership/Lease.kt
@@ -1,16 +1,16 @@
 /*
- * The lease that bounds how long a process that is cut off from the control hosts may go on placing new work. It is
- * counted from the moment at which the heartbeat was sent, on the holder's own monotonic clock, so that a slow answer
- * or a frozen process shortens it and never lengthens it.
+ * Lease that bounds how long a process partitioned from the control hosts may place new work. Its duration is measured
+ * from the time at which the heartbeat was sent, on the holder's own monotonic clock, so that a delayed grant or a
+ * paused process can only shorten it.
  */
 package io.carawaytrack.membership
 
-/** Tells whether the holder may place new work. */
+/** Permission for its holder to place new work for a limited time. */
 public interface Lease {
-    /** Returns the time left, in milliseconds; 0 when there is no lease. */
+    /** Returns the remaining time in milliseconds, or 0 if no lease is held. */
     public fun remainingMillis(): Long
 
-    /** Returns whether the lease is held now. */
+    /** Whether the lease is currently held. */
     public val held: Boolean get() = remainingMillis() > 0
 }
 
@@ -26,7 +26,7 @@
         return (expiry - nowMillis()).coerceAtLeast(0)
     }
 
-    /** Extends the lease to [durationMillis] after [sentAtMillis]; an older grant changes nothing. */
+    /** Extends the lease to [durationMillis] after [sentAtMillis]; a grant that ends earlier has no effect. */
     @Synchronized
     fun renew(
         sentAtMillis: Long,
--- a/membership/src/test/kotlin/io/carawaytrack/membership/ControlClientTest.kt
+++ b/membership/src/test/kotlin/io/carawaytrack/membership/ControlClientTest.kt
@@ -1,6 +1,6 @@
 /*
- * The client of the control hosts against hosts that the test plays, message by message. The clock stands still unless
- * the test moves it, and every wait is for a message.
+ * Tests the client of the control hosts against simulated hosts, message by message. The clock is manual, and every wait
+ * is for a message.
  */
 package io.carawaytrack.membership
 
@@ -44,20 +44,20 @@
 private val secondHost = HostPort("127.0.0.1", 2)
 private const val COMMIT_TIMEOUT_MILLIS = 60_000L
 
-/** Plays the control hosts of one client. */
-private class Hosts : AutoCloseable {
+/** Simulates the control hosts of one client. */
+private class FakeControlHosts : AutoCloseable {
     val nowMillis = AtomicLong(1_000)
     val configurations = mutableListOf<Long>()
     val suspects = AtomicReference<SuspectReport>()
     private val memberships = Channel<Membership>(Channel.UNLIMITED)
-    private val dialled = Channel<Pair<HostPort, FakeLink>>(Channel.UNLIMITED)
+    private val connections = Channel<Pair<HostPort, FakeLink>>(Channel.UNLIMITED)
     val client =
         ControlClient(
             listOf(firstHost, secondHost),
             ControlClientPorts(
                 connect = { address ->
                     val link = FakeLink(testPeer("control-${address.port}", NodeRole.Control))
-                    dialled.send(address to link)
+                    connections.send(address to link)
                     Ok(link)
                 },
                 nowMillis = nowMillis::get,
@@ -67,19 +67,19 @@
             ),
         )
 
-    suspend fun dialled(): Pair<HostPort, FakeLink> = dialled.receive()
+    suspend fun nextConnection(): Pair<HostPort, FakeLink> = connections.receive()
 
-    /** Delivers [grant] and waits until the client has taken in it and everything before it. */
+    /** Delivers [grant] and waits until the client has handled it and every message before it. */
     suspend fun FakeLink.deliverAndWait(
         heartbeat: Heartbeat,
         grant: LeaseGrant,
     ) {
         deliver(grant)
-        settle(heartbeat)
+        awaitHandled(heartbeat)
     }
 
-    // A reply to a call is taken in after all that was delivered before it.
-    suspend fun FakeLink.settle(heartbeat: Heartbeat) {
+    // Messages are handled in order, so the reply to a call is handled after every message delivered before it.
+    suspend fun FakeLink.awaitHandled(heartbeat: Heartbeat) {
         check(heartbeat.sequence > 0)
         runBlocking {
             val barrier = async { client.commit(ByteArray(0), COMMIT_TIMEOUT_MILLIS) }
@@ -93,21 +93,21 @@
 
 private fun grant(
     sequence: Long,
-    number: Long = 0,
-    carries: Long? = null,
-) = LeaseGrant(sequence, LEASE_MILLIS, number, carries?.let { Configuration(number = it) })
+    configurationNumber: Long = 0,
+    includedNumber: Long? = null,
+) = LeaseGrant(sequence, LEASE_MILLIS, configurationNumber, includedNumber?.let { Configuration(number = it) })
 
 class ControlClientTest {
-    private fun withHosts(test: suspend Hosts.(FakeLink) -> Unit): Unit = runBlocking {
-        Hosts().use { hosts ->
-            hosts.client.start()
-            val (_, link) = hosts.dialled()
-            hosts.test(link)
+    private fun withControlHosts(test: suspend FakeControlHosts.(FakeLink) -> Unit): Unit = runBlocking {
+        FakeControlHosts().use { controlHosts ->
+            controlHosts.client.start()
+            val (_, link) = controlHosts.nextConnection()
+            controlHosts.test(link)
         }
     }
 
     @Test
-    fun `a lease is counted from the moment at which its heartbeat was sent`() = withHosts { link ->
+    fun `a lease starts when its heartbeat was sent`() = withControlHosts { link ->
         val heartbeat = link.sentOf<Heartbeat>()
         nowMillis.addAndGet(1_200)
         link.deliverAndWait(heartbeat, grant(heartbeat.sequence))
@@ -117,53 +117,56 @@
     }
 
     @Test
-    fun `a grant that comes after its lease would have ended gives none`() = withHosts { link ->
+    fun `a grant received after its lease would have expired gives no lease`() = withControlHosts { link ->
         val heartbeat = link.sentOf<Heartbeat>()
         nowMillis.addAndGet(LEASE_MILLIS)
         link.deliverAndWait(heartbeat, grant(heartbeat.sequence))
         expectThat(client.lease.held).isEqualTo(false)
     }
 
-    private data class Case(
+    private data class GrantCase(
         val name: String,
         val remainingMillis: Long,
         val grants: (first: Long, second: Long) -> List<LeaseGrant>,
     )
 
-    private val cases =
+    private val grantCases =
         listOf(
-            Case("both in order", LEASE_MILLIS - 100) { first, second -> listOf(grant(first), grant(second)) },
-            Case("both, the later first", LEASE_MILLIS - 100) { first, second ->
+            GrantCase("both in order", LEASE_MILLIS - 100) { first, second -> listOf(grant(first), grant(second)) },
+            GrantCase("both in reverse order", LEASE_MILLIS - 100) { first, second ->
                 listOf(grant(second), grant(first))
             },
-            Case("the first, twice", LEASE_MILLIS - 600) { first, _ -> listOf(grant(first), grant(first)) },
-            Case("one that was never asked for", 0) { _, second -> listOf(grant(second + 100)) },
-            Case("one for a configuration that it does not bring", 0) { _, second ->
-                listOf(grant(second, number = 7))
+            GrantCase(
+                "a duplicate of the first",
+                LEASE_MILLIS - 600,
+            ) { first, _ -> listOf(grant(first), grant(first)) },
+            GrantCase("one for a heartbeat that was never sent", 0) { _, second -> listOf(grant(second + 100)) },
+            GrantCase("one for a configuration that it does not contain", 0) { _, second ->
+                listOf(grant(second, configurationNumber = 7))
             },
-            Case("one with its configuration", LEASE_MILLIS - 100) { _, second ->
-                listOf(grant(second, number = 7, carries = 7))
+            GrantCase("one that contains its configuration", LEASE_MILLIS - 100) { _, second ->
+                listOf(grant(second, configurationNumber = 7, includedNumber = 7))
             },
         )
 
     @TestFactory
-    fun `grants count only for the heartbeat and the configuration they name`(): List<DynamicTest> = cases.map { case ->
+    fun `a grant is valid only for its heartbeat and its configuration`(): List<DynamicTest> = grantCases.map { case ->
         dynamicTest(case.name) {
-            withHosts { link ->
+            withControlHosts { link ->
                 val first = link.sentOf<Heartbeat>()
                 nowMillis.addAndGet(500)
                 client.sendHeartbeatNow()
                 val second = link.sentOf<Heartbeat>()
                 nowMillis.addAndGet(100)
                 case.grants(first.sequence, second.sequence).forEach(link::deliver)
-                link.settle(second)
+                link.awaitHandled(second)
                 expectThat(client.lease.remainingMillis()).isEqualTo(case.remainingMillis)
             }
         }
     }
 
     @Test
-    fun `what an agent holds against requests goes out once, and again when it has changed`() = withHosts { link ->
+    fun `a suspect report is sent once and again only when it has changed`() = withControlHosts { link ->
         listOf(7L, 8L).map { SuspectReport(NodeId("agent-1"), it, emptyList()) }.forEach { report ->
             suspects.set(report)
             client.sendHeartbeatNow()
@@ -176,57 +179,60 @@
     }
 
     @Test
-    fun `the configuration never goes back, whichever way it comes`() = withHosts { link ->
+    fun `the configuration never reverts to a lower number, in pushes or in grants`() = withControlHosts { link ->
         val heartbeat = link.sentOf<Heartbeat>()
         listOf(3L, 2L, 5L, 5L, 4L).forEach { link.deliver(ConfigurationPush(Configuration(number = it))) }
-        link.deliverAndWait(heartbeat, grant(heartbeat.sequence, number = 4, carries = 4))
+        link.deliverAndWait(heartbeat, grant(heartbeat.sequence, configurationNumber = 4, includedNumber = 4))
         expectThat(client.configuration.number).isEqualTo(5)
         expectThat(configurations.toList()).isEqualTo(listOf(3L, 5L))
         link.close()
-        val (_, other) = dialled()
-        val next = other.sentOf<Heartbeat>()
-        expectThat(next.configurationNumber).isEqualTo(5)
-        other.deliver(ConfigurationPush(Configuration(number = 1)))
-        other.deliverAndWait(next, grant(next.sequence, number = 1, carries = 1))
+        val (_, nextLink) = nextConnection()
+        val nextHeartbeat = nextLink.sentOf<Heartbeat>()
+        expectThat(nextHeartbeat.configurationNumber).isEqualTo(5)
+        nextLink.deliver(ConfigurationPush(Configuration(number = 1)))
+        nextLink.deliverAndWait(
+            nextHeartbeat,
+            grant(nextHeartbeat.sequence, configurationNumber = 1, includedNumber = 1),
+        )
         expectThat(client.configuration.number).isEqualTo(5)
     }
 
     @Test
-    fun `a silent control host is left for another`() = withHosts { link ->
+    fun `the client leaves an unresponsive control host for the next one`() = withControlHosts { link ->
         link.sentOf<Heartbeat>()
         nowMillis.addAndGet(CONTROL_TIMEOUT_MILLIS + 1)
         client.sendHeartbeatNow()
         link.closed.await()
-        expectThat(dialled().first).isEqualTo(secondHost)
+        expectThat(nextConnection().first).isEqualTo(secondHost)
     }
 
     @Test
-    fun `a host that does not lead is left for the one it names`() = withHosts { link ->
+    fun `the client leaves a host that does not lead for the leader that it names`() = withControlHosts { link ->
         link.deliver(NotLeading(1, HostPort("127.0.0.1", 9)))
-        expectThat(dialled().first).isEqualTo(HostPort("127.0.0.1", 9))
+        expectThat(nextConnection().first).isEqualTo(HostPort("127.0.0.1", 9))
     }
 
     @Test
-    fun `a commit is sent again over the next link with the same command`() = withHosts { link ->
+    fun `a commit is retried on the next link with the same command`() = withControlHosts { link ->
         val command = "finish r1".encodeToByteArray()
         runBlocking {
             val committed = async { client.commit(command, COMMIT_TIMEOUT_MILLIS) }
             expectThat(link.sentOf<LedgerCall>().command).isEqualTo(command)
             link.close()
-            val (_, other) = dialled()
-            val call = other.sentOf<LedgerCall>()
+            val (_, nextLink) = nextConnection()
+            val call = nextLink.sentOf<LedgerCall>()
             expectThat(call.command).isEqualTo(command)
-            other.deliver(LedgerReply(call.call + 100, reply = byteArrayOf(8)))
-            other.deliver(LedgerReply(call.call, failure = ErrorKind.NotLeader.notRun()))
-            val again = other.sentOf<LedgerCall>()
-            expectThat(again.command).isEqualTo(command)
-            other.deliver(LedgerReply(again.call, reply = byteArrayOf(9)))
+            nextLink.deliver(LedgerReply(call.call + 100, reply = byteArrayOf(8)))
+            nextLink.deliver(LedgerReply(call.call, failure = ErrorKind.NotLeader.notRun()))
+            val retry = nextLink.sentOf<LedgerCall>()
+            expectThat(retry.command).isEqualTo(command)
+            nextLink.deliver(LedgerReply(retry.call, reply = byteArrayOf(9)))
             expectThat(committed.await().get()).isNotNull().isEqualTo(byteArrayOf(9))
         }
     }
 
     @Test
-    fun `a commit that no host answers says that it may have run`() = withHosts { link ->
+    fun `a commit without a reply fails, with MayHaveRun once it was sent`() = withControlHosts { link ->
         runBlocking {
             val committed = async { client.commit(ByteArray(1), timeoutMillis = 1) }
             val failure = committed.await().getError()
