--- a/control/src/main/kotlin/io/carawaytrack/control/AdministrationApi.kt
+++ b/control/src/main/kotlin/io/carawaytrack/control/AdministrationApi.kt
@@ -1,6 +1,6 @@
 /*
- * The administration API over HTTP. Every call needs an operator's token; every answer comes from the leading host
- * after a confirmed read, so that an operator never sees an older state than the last one acknowledged.
+ * The administration API over HTTP. Every call requires an operator token. Reads are served by the leader after it has
+ * confirmed its leadership with a quorum, so that an operator never sees a state older than the last acknowledged one.
  */
 package io.carawaytrack.control
 
@@ -56,7 +56,7 @@
 
 private val json = Json { encodeDefaults = true }
 
-/** Answers operators from the replicated [state]. */
+/** Serves the administration API from the replicated [state]. */
 internal class AdministrationApi(
     private val replica: GroupReplica,
     private val state: ControlState,
@@ -70,14 +70,14 @@
 
     private fun Application.install() {
         routing {
-            get("/v1/configuration") { call.read(Configuration.serializer()) { Ok(state.configuration) } }
-            get("/v1/history") { call.read(ListSerializer(HistoryEntry.serializer())) { Ok(history(call)) } }
-            get("/v1/status") { call.read(StatusReport.serializer()) { Ok(status()) } }
-            get("/v1/bills") { call.read(ListSerializer(Bill.serializer())) { bills(call) } }
-            post("/v1/members") { call.answer(MemberReply.serializer()) { members(call) } }
+            get("/v1/configuration") { call.respondRead(Configuration.serializer()) { Ok(state.configuration) } }
+            get("/v1/history") { call.respondRead(ListSerializer(HistoryEntry.serializer())) { Ok(history(call)) } }
+            get("/v1/status") { call.respondRead(StatusReport.serializer()) { Ok(status()) } }
+            get("/v1/bills") { call.respondRead(ListSerializer(Bill.serializer())) { bills(call) } }
+            post("/v1/members") { call.respond(MemberReply.serializer()) { changeMembers(call) } }
             post(
                 "/v1/changes",
-            ) { call.answer(ChangeReply.serializer()) { operator -> change(call, operator).also(::count) } }
+            ) { call.respond(ChangeReply.serializer()) { operator -> applyChange(call, operator).also(::countChange) } }
         }
     }
 
@@ -87,7 +87,7 @@
     private fun bills(call: ApplicationCall): Result<List<Bill>, Failure> {
         val name =
             call.request.queryParameters["organisation"]
-                ?: return Err(ErrorKind.MalformedRequest.notRun("expected the parameter organisation, got none"))
+                ?: return Err(ErrorKind.MalformedRequest.notRun("expected the query parameter organisation, got none"))
         return Ok(state.ledger.bills(OrganisationName(name)))
     }
 
@@ -109,28 +109,28 @@
         )
     }
 
-    private suspend fun change(
+    private suspend fun applyChange(
         call: ApplicationCall,
         operator: String,
     ): Result<ChangeReply, Failure> {
         val request = call.receive(ChangeRequest.serializer()).getOrElse { return Err(it) }
-        checked(request.change).getOrElse { return Err(it) }
+        validate(request.change).getOrElse { return Err(it) }
         val command = ControlCommand.Change(request.copy(operator = operator), wallClockMillis())
         return replica
             .propose(command.encode())
-            .andThen { reply -> changed(decodeControlReply(reply)) }
+            .andThen { reply -> toResult(decodeControlReply(reply)) }
     }
 
-    private fun count(result: Result<ChangeReply, Failure>) {
+    private fun countChange(result: Result<ChangeReply, Failure>) {
         metrics.changeEnded(result.getError()?.kind)
     }
 
-    private suspend fun members(call: ApplicationCall): Result<MemberReply, Failure> {
+    private suspend fun changeMembers(call: ApplicationCall): Result<MemberReply, Failure> {
         val request = call.receive(MemberRequest.serializer()).getOrElse { return Err(it) }
         val change =
             when (request.action) {
                 MemberAction.Add -> {
-                    makeKnown(request).getOrElse { return Err(it) }
+                    registerAddress(request).getOrElse { return Err(it) }
                     MemberChange.AddLearner(request.node)
                 }
                 MemberAction.Promote -> MemberChange.Promote(request.node)
@@ -139,20 +139,21 @@
         return replica.changeMembers(change).map { MemberReply(request.node, request.action) }
     }
 
-    private suspend fun makeKnown(request: MemberRequest): Result<Unit, Failure> {
+    private suspend fun registerAddress(request: MemberRequest): Result<Unit, Failure> {
         val address =
-            request.address ?: return Err(ErrorKind.MalformedRequest.notRun("expected the address of ${request.node}"))
-        return replica.propose(ControlCommand.Member(request.node, address).encode()).map { }
+            request.address
+                ?: return Err(ErrorKind.MalformedRequest.notRun("expected the address of ${request.node}, got none"))
+        return replica.propose(ControlCommand.RegisterMember(request.node, address).encode()).map { }
     }
 
-    private fun changed(reply: ControlReply): Result<ChangeReply, Failure> = when (reply) {
+    private fun toResult(reply: ControlReply): Result<ChangeReply, Failure> = when (reply) {
         is ControlReply.Changed -> Ok(reply.reply)
         is ControlReply.Refused -> Err(reply.failure)
-        is ControlReply.Recorded, is ControlReply.MemberKnown ->
-            Err(ErrorKind.Internal.notRun("expected the reply to a change"))
+        is ControlReply.LedgerUpdated, is ControlReply.MemberRegistered ->
+            Err(ErrorKind.Internal.notRun("expected the reply to a configuration change"))
     }
 
-    private fun checked(change: ConfigurationChange): Result<Unit, Failure> {
+    private fun validate(change: ConfigurationChange): Result<Unit, Failure> {
         if (change !is ConfigurationChange.ApplyTables) return Ok(Unit)
         val faults = checkTables(change.tables)
         if (faults.isEmpty()) return Ok(Unit)
@@ -162,26 +163,26 @@
     private suspend fun <T> ApplicationCall.receive(serializer: KSerializer<T>): Result<T, Failure> {
         val body = receiveChannel().readRemaining(MAX_BODY_BYTES + 1).readByteArray()
         if (body.size > MAX_BODY_BYTES) {
-            return Err(ErrorKind.BodyTooLarge.notRun("expected at most $MAX_BODY_BYTES bytes"))
+            return Err(ErrorKind.BodyTooLarge.notRun("expected a body of at most $MAX_BODY_BYTES bytes"))
         }
         return try {
             Ok(json.decodeFromString(serializer, body.decodeToString()))
         } catch (malformed: IllegalArgumentException) {
-            Err(ErrorKind.MalformedRequest.notRun("expected a request as JSON: ${malformed.message}"))
+            Err(ErrorKind.MalformedRequest.notRun("expected a JSON request: ${malformed.message}"))
         }
     }
 
-    private suspend fun <T> ApplicationCall.read(
+    private suspend fun <T> ApplicationCall.respondRead(
         serializer: KSerializer<T>,
-        read: () -> Result<T, Failure>,
-    ): Unit = answer(serializer) { replica.confirm().andThen { read() } }
+        query: () -> Result<T, Failure>,
+    ): Unit = respond(serializer) { replica.confirm().andThen { query() } }
 
-    private suspend fun <T> ApplicationCall.answer(
+    private suspend fun <T> ApplicationCall.respond(
         serializer: KSerializer<T>,
-        work: suspend (operator: String) -> Result<T, Failure>,
+        handle: suspend (operator: String) -> Result<T, Failure>,
     ) {
-        val operator = operatorOf(request.headers[HttpHeaders.Authorization])
-        val result = operator?.let { work(it) } ?: Err(ErrorKind.Unauthorized.notRun())
+        val operator = authenticate(request.headers[HttpHeaders.Authorization])
+        val result = operator?.let { handle(it) } ?: Err(ErrorKind.Unauthorized.notRun())
         val (status, body) =
             result.mapBoth(
                 { HttpStatusCode.OK to json.encodeToString(serializer, it) },
@@ -190,10 +191,10 @@
         respondText(body, ContentType.Application.Json, status)
     }
 
-    private fun operatorOf(authorization: String?): String? {
+    private fun authenticate(authorization: String?): String? {
         val token = authorization?.removePrefix("Bearer ") ?: return null
         val digest = MessageDigest.getInstance("SHA-256").digest(token.encodeToByteArray())
-        // All digests are compared, so that the time taken tells nothing about which one came close.
+        // Compares all digests, so that the response time does not reveal which of them match.
         return operators.entries
             .filter { (_, hex) -> MessageDigest.isEqual(digest, hex.hexToByteArrayOrEmpty()) }
             .map { it.key }
--- a/control/src/main/kotlin/io/carawaytrack/control/ConfigurationRules.kt
+++ b/control/src/main/kotlin/io/carawaytrack/control/ConfigurationRules.kt
@@ -1,6 +1,6 @@
 /*
- * What each change does to a configuration. Pure and deterministic: every control host applies the same changes in the
- * same order.
+ * Applies changes to a configuration. The functions are pure and deterministic, since every control host applies the
+ * same changes in the same order and must arrive at the same configuration.
  */
 package io.carawaytrack.control
 
@@ -18,31 +18,32 @@
 import io.carawaytrack.model.VersionState
 import io.carawaytrack.model.notRun
 
-private const val WHOLE_PERCENT = 100
+private const val MAX_PERCENT = 100
 
 /**
- * Returns the configuration after [change], under the next number. Fails with `NotFound` for a name that does not
- * exist and with `MalformedRequest` for a value out of range; [keptAt] returns a configuration that was in force.
+ * Returns the configuration after [change], with its number incremented by one. Fails with `NotFound` for a name that
+ * does not exist and with `MalformedRequest` for a value out of range. [configurationAt] returns the retained
+ * configuration that was in force under a number, or null if there is none.
  */
 internal fun Configuration.after(
     change: ConfigurationChange,
-    keptAt: (Long) -> Configuration?,
+    configurationAt: (Long) -> Configuration?,
 ): Result<Configuration, Failure> {
     val changed =
         when (change) {
             is ConfigurationChange.ApplyTables -> Ok(copy(tables = change.tables))
-            is ConfigurationChange.SetZone -> Ok(copy(zonesOut = zonesOut.with(change.zone, !change.inService)))
+            is ConfigurationChange.SetZone -> Ok(copy(zonesOut = zonesOut.withItem(change.zone, !change.inService)))
             is ConfigurationChange.SetUpstream ->
-                Ok(copy(upstreamsOut = upstreamsOut.with(change.upstream, !change.inService)))
+                Ok(copy(upstreamsOut = upstreamsOut.withItem(change.upstream, !change.inService)))
             is ConfigurationChange.SetVersion -> Ok(withVersion(change.version, change.state))
             is ConfigurationChange.SetRollout -> withRollout(change.rollout)
-            is ConfigurationChange.AdvanceRollout -> advanced(change)
-            is ConfigurationChange.RollbackTo -> rolledBack(change.number, keptAt)
+            is ConfigurationChange.AdvanceRollout -> withRolloutPhase(change)
+            is ConfigurationChange.RollbackTo -> previousConfiguration(change.number, configurationAt)
         }
     return changed.map { it.copy(number = number + 1) }
 }
 
-private fun <T> Set<T>.with(
+private fun <T> Set<T>.withItem(
     item: T,
     present: Boolean,
 ): Set<T> = if (present) this + item else this - item
@@ -57,39 +58,41 @@
 }
 
 private fun Configuration.withRollout(rollout: Rollout): Result<Configuration, Failure> {
-    val pool = tables.pools.find { it.name == rollout.pool } ?: return missing("pool", rollout.pool)
+    val pool = tables.pools.find { it.name == rollout.pool } ?: return notFound("pool", rollout.pool)
     val members = pool.members.map { it.version }
-    if (rollout.percent !in 0..WHOLE_PERCENT) return percentOutOfRange(rollout.percent)
-    if (rollout.from !in members) return missing("version in pool ${pool.name}", rollout.from)
-    if (rollout.to !in members) return missing("version in pool ${pool.name}", rollout.to)
+    if (rollout.percent !in 0..MAX_PERCENT) return percentOutOfRange(rollout.percent)
+    if (rollout.from !in members) return notFound("version in pool ${pool.name}", rollout.from)
+    if (rollout.to !in members) return notFound("version in pool ${pool.name}", rollout.to)
     return Ok(copy(rollouts = rollouts.filterNot { it.name == rollout.name } + rollout))
 }
 
-private fun Configuration.advanced(change: ConfigurationChange.AdvanceRollout): Result<Configuration, Failure> {
-    val rollout = rollouts.find { it.name == change.name } ?: return missing("roll-out", change.name)
+private fun Configuration.withRolloutPhase(
+    change: ConfigurationChange.AdvanceRollout,
+): Result<Configuration, Failure> {
+    val rollout = rollouts.find { it.name == change.name } ?: return notFound("roll-out", change.name)
     val percent =
         when (change.phase) {
-            RolloutPhase.Completed -> WHOLE_PERCENT
+            RolloutPhase.Completed -> MAX_PERCENT
             RolloutPhase.RolledBack -> 0
             RolloutPhase.Running, RolloutPhase.Paused -> change.percent ?: rollout.percent
         }
-    if (percent !in 0..WHOLE_PERCENT) return percentOutOfRange(percent)
-    val moved = rollout.copy(phase = change.phase, percent = percent)
-    return Ok(copy(rollouts = rollouts.map { if (it.name == change.name) moved else it }))
+    if (percent !in 0..MAX_PERCENT) return percentOutOfRange(percent)
+    val updated = rollout.copy(phase = change.phase, percent = percent)
+    return Ok(copy(rollouts = rollouts.map { if (it.name == change.name) updated else it }))
 }
 
-private fun rolledBack(
+private fun previousConfiguration(
     number: Long,
-    keptAt: (Long) -> Configuration?,
+    configurationAt: (Long) -> Configuration?,
 ): Result<Configuration, Failure> {
-    val earlier = keptAt(number) ?: return missing("kept configuration", number)
-    return Ok(earlier)
+    val previous = configurationAt(number) ?: return notFound("retained configuration", number)
+    return Ok(previous)
 }
 
-private fun missing(
+private fun notFound(
     what: String,
     name: Any,
-): Result<Nothing, Failure> = Err(ErrorKind.NotFound.notRun("expected a $what, $name does not exist"))
+): Result<Nothing, Failure> = Err(ErrorKind.NotFound.notRun("expected an existing $what, got $name"))
 
 private fun percentOutOfRange(percent: Int): Result<Nothing, Failure> =
-    Err(ErrorKind.MalformedRequest.notRun("expected a percentage from 0 to $WHOLE_PERCENT, got $percent"))
+    Err(ErrorKind.MalformedRequest.notRun("expected a percentage from 0 to $MAX_PERCENT, got $percent"))
--- a/control/src/main/kotlin/io/carawaytrack/control/ControlHost.kt
+++ b/control/src/main/kotlin/io/carawaytrack/control/ControlHost.kt
@@ -1,5 +1,5 @@
 /*
- * One control host: its parts, joined, from the start to the graceful shutdown.
+ * Assembles the components of a control host and runs them from start to graceful shutdown.
  */
 package io.carawaytrack.control
 
@@ -33,7 +33,7 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** Exit code of a control host whose data folder cannot be used. */
+/** Exit code of a control host whose data folder is unusable. */
 internal const val STORAGE_EXIT_CODE = 3
 
 internal class ControlHost(
@@ -45,19 +45,19 @@
     private val hub = LinkHub(process.identity(NodeRole.Control), process.sharedSecret(), ::monotonicMillis)
     private val registry = HolderRegistry(::monotonicMillis)
     private val peers = Peers(hub, scope, process.node)
-    private val state = ControlState(onConfiguration = { service?.push(it) }, onMembers = ::reach)
+    private val state = ControlState(onConfiguration = { service?.push(it) }, onMembers = ::connectPeers)
 
-    // Set once the replica is open; configurations that it recovers before then have no holder to go to.
+    // Null until the replica is open. No holder is connected before then, so recovered configurations are not pushed.
     @Volatile
     private var service: HolderService? = null
 
     suspend fun run(awaitStop: suspend () -> Unit) {
-        reach(emptyMap())
+        connectPeers(emptyMap())
         openReplica().use { replica ->
             val metrics = ControlMetrics(telemetry.registry, sources(replica))
-            val serving = HolderService(replica, state, registry, ::memberAddresses, metrics)
-            service = serving
-            hub.listen(settings.linkAddress, serving::serve)
+            val holderService = HolderService(replica, state, registry, ::memberAddresses, metrics)
+            service = holderService
+            hub.listen(settings.linkAddress, holderService::serve)
             serve(replica, metrics, awaitStop)
         }
         hub.drain()
@@ -83,13 +83,13 @@
         server.stop()
     }
 
-    /** Addresses of the settings, and of the members that have joined since. */
+    /** Returns the addresses from the settings and those of members that have joined since. */
     private fun memberAddresses(): Map<NodeId, HostPort> = settings.members + state.memberAddresses
 
-    private fun reach(joined: Map<NodeId, HostPort>): Unit = peers.reach(settings.members + joined)
+    private fun connectPeers(joined: Map<NodeId, HostPort>): Unit = peers.connect(settings.members + joined)
 
     private fun sources(replica: GroupReplica) = ControlSources(
-        log = { replica.status().toStanding() },
+        log = { replica.status().toLogStanding() },
         ledger = ::ledgerStanding,
         configurationNumber = { state.configuration.number },
         holders = registry::statuses,
@@ -111,15 +111,15 @@
             send = peers::send,
             nowMillis = ::monotonicMillis,
             random = Random(SecureRandom().nextLong()),
-            onHalt = ::halted,
+            onHalt = ::handleHalt,
         ).getOrElse { exitWith(it.detail) }
     }
 
-    /** Ends the process when the replica can no longer keep what it acknowledges; the platform starts it again. */
-    private fun halted(failure: Failure) {
+    /** Ends the process when the replica can no longer persist what it acknowledges; the platform restarts it. */
+    private fun handleHalt(failure: Failure) {
         if (failure.kind == ErrorKind.ShuttingDown) return
         System.err.println(failure.detail)
-        // An orderly exit would wait for this very thread.
+        // An orderly exit would deadlock, since it waits for the thread that runs this function.
         Runtime.getRuntime().halt(STORAGE_EXIT_CODE)
     }
 
@@ -129,5 +129,5 @@
     }
 }
 
-private fun ReplicaStatus.toStanding() =
+private fun ReplicaStatus.toLogStanding() =
     LogStanding(leading, term, lastIndex = commitIndex, commitIndex = commitIndex, appliedIndex = appliedIndex)
--- a/control/src/main/kotlin/io/carawaytrack/control/ControlSettings.kt
+++ b/control/src/main/kotlin/io/carawaytrack/control/ControlSettings.kt
@@ -1,5 +1,5 @@
 /*
- * The settings file of a control host.
+ * Reads the settings file of a control host.
  */
 package io.carawaytrack.control
 
@@ -11,14 +11,14 @@
 import java.nio.file.Path
 
 /**
- * Holds the settings of a control host.
+ * Settings of a control host.
  *
- * @property dataFolder folder that holds the state which must survive
- * @property linkAddress address on which entries, agents and other control hosts connect
+ * @property dataFolder folder of the persistent state
+ * @property linkAddress address on which this host accepts links from entries, agents and other control hosts
  * @property members link addresses of all control hosts, this one included
- * @property joining true for a host that joins a running group as a learner
+ * @property joining whether this host joins a running group as a learner
  * @property operators hex SHA-256 digest of each operator's token, by operator name
- * @property retentionMillis age at which request records, pins and bills are dropped
+ * @property retentionMillis age at which request records, session pins and bills are deleted
  */
 internal data class ControlSettings(
     val process: ProcessSettings,
@@ -34,7 +34,7 @@
 
 private const val MILLIS_PER_HOUR = 3_600_000L
 private const val DEFAULT_RETENTION_HOURS = 72L
-private const val LONGEST_RETENTION_HOURS = 8_760L
+private const val MAX_RETENTION_HOURS = 8_760L
 
 internal fun SettingsReader.controlSettings(): ControlSettings = ControlSettings(
     process = processSettings(),
@@ -48,7 +48,7 @@
     retentionMillis =
         long(
             "retention_hours",
-            1..LONGEST_RETENTION_HOURS,
+            1..MAX_RETENTION_HOURS,
             DEFAULT_RETENTION_HOURS,
         ) * MILLIS_PER_HOUR,
 )
--- a/control/src/main/kotlin/io/carawaytrack/control/ControlState.kt
+++ b/control/src/main/kotlin/io/carawaytrack/control/ControlState.kt
@@ -1,5 +1,5 @@
 /*
- * The state machine that the replicated log drives: the configuration in force with its history, the answers to
+ * The replicated state machine of the control hosts: the configuration in force with its history, the replies to
  * operators' changes, and the request ledger.
  */
 @file:OptIn(kotlinx.serialization.ExperimentalSerializationApi::class)
@@ -29,11 +29,11 @@
 import java.util.concurrent.locks.ReentrantLock
 import kotlin.concurrent.withLock
 
-private const val KEPT_HISTORY = 1_000
-private const val KEPT_CONFIGURATIONS = 32
-private const val KEPT_OPERATIONS = 4_000
+private const val MAX_HISTORY_ENTRIES = 1_000
+private const val MAX_PREVIOUS_CONFIGURATIONS = 32
+private const val MAX_OPERATION_RECORDS = 4_000
 
-/** A command of the log. */
+/** Command in the replicated log. */
 @Serializable
 internal sealed interface ControlCommand {
     @Serializable
@@ -43,22 +43,22 @@
         val atMillis: Long,
     ) : ControlCommand
 
-    /** Makes the address of a member known that is not in every host's settings. */
+    /** Registers the address of a member that is not in the settings of every host. */
     @Serializable
     @SerialName("m")
-    data class Member(
+    data class RegisterMember(
         val node: NodeId,
         val address: HostPort,
     ) : ControlCommand
 
     @Serializable
     @SerialName("l")
-    data class Record(
+    data class LedgerUpdate(
         val command: LedgerCommand,
     ) : ControlCommand
 }
 
-/** The reply to a [ControlCommand]. */
+/** Reply to a [ControlCommand]. */
 @Serializable
 internal sealed interface ControlReply {
     @Serializable
@@ -75,16 +75,16 @@
 
     @Serializable
     @SerialName("m")
-    data object MemberKnown : ControlReply
+    data object MemberRegistered : ControlReply
 
     @Serializable
     @SerialName("l")
-    data class Recorded(
+    data class LedgerUpdated(
         val reply: LedgerReply,
     ) : ControlReply
 }
 
-/** The first answer to an operator's change, kept for resends. */
+/** Records the first reply to an operator's change, which is returned again when the change is retried. */
 @Serializable
 internal data class OperationRecord(
     val operationId: String,
@@ -94,7 +94,7 @@
 @Serializable
 internal data class ControlSnapshot(
     val configuration: Configuration,
-    val kept: List<Configuration>,
+    @SerialName("kept") val previousConfigurations: List<Configuration>,
     val history: List<HistoryEntry>,
     val operations: List<OperationRecord>,
     val ledger: LedgerSnapshot,
@@ -108,8 +108,8 @@
 internal fun decodeControlReply(bytes: ByteArray): ControlReply = controlCbor.decodeFromByteArray(bytes)
 
 /**
- * The replicated state of a control host. [onConfiguration] hears of every configuration that comes into force, and
- * [onMembers] of the addresses of members that have joined.
+ * Replicated state of a control host. [onConfiguration] is called with every configuration that comes into force, and
+ * [onMembers] with the addresses of all members that have joined.
  */
 internal class ControlState(
     private val onConfiguration: (Configuration) -> Unit = {},
@@ -119,7 +119,7 @@
 
     private val lock = ReentrantLock()
     private val history = ArrayDeque<HistoryEntry>()
-    private val kept = ArrayDeque<Configuration>()
+    private val previousConfigurations = ArrayDeque<Configuration>()
     private val operations = LinkedHashMap<String, ControlReply>()
 
     @Volatile
@@ -138,69 +138,71 @@
     ): ByteArray {
         val reply: ControlReply =
             when (val decoded = controlCbor.decodeFromByteArray<ControlCommand>(command)) {
-                is ControlCommand.Change -> change(decoded)
-                is ControlCommand.Record -> record(decoded.command)
-                is ControlCommand.Member -> member(decoded)
+                is ControlCommand.Change -> applyChange(decoded)
+                is ControlCommand.LedgerUpdate -> updateLedger(decoded.command)
+                is ControlCommand.RegisterMember -> registerMember(decoded)
             }
         return controlCbor.encodeToByteArray(reply)
     }
 
-    private fun member(command: ControlCommand.Member): ControlReply {
+    private fun registerMember(command: ControlCommand.RegisterMember): ControlReply {
         memberAddresses = memberAddresses + (command.node to command.address)
         onMembers(memberAddresses)
-        return ControlReply.MemberKnown
+        return ControlReply.MemberRegistered
     }
 
-    private fun record(command: LedgerCommand): ControlReply {
+    private fun updateLedger(command: LedgerCommand): ControlReply {
         val inForce = configuration
-        return ControlReply.Recorded(ledger.apply(command, inForce::stateOf))
+        return ControlReply.LedgerUpdated(ledger.apply(command, inForce::stateOf))
     }
 
-    private fun change(command: ControlCommand.Change): ControlReply {
-        val reply = lock.withLock { firstAnswer(command) ?: decide(command) }
+    private fun applyChange(command: ControlCommand.Change): ControlReply {
+        val reply = lock.withLock { firstReply(command) ?: evaluate(command) }
         if (reply is ControlReply.Changed && !reply.reply.repeated) onConfiguration(configuration)
         return reply
     }
 
-    private fun firstAnswer(command: ControlCommand.Change): ControlReply? {
+    private fun firstReply(command: ControlCommand.Change): ControlReply? {
         val first = operations[command.request.operationId] ?: return null
         if (first !is ControlReply.Changed) return first
         return first.copy(reply = first.reply.copy(repeated = true))
     }
 
-    private fun decide(command: ControlCommand.Change): ControlReply {
+    private fun evaluate(command: ControlCommand.Change): ControlReply {
         val request = command.request
         val base = request.baseNumber
         val reply =
             if (base != null && base != configuration.number) {
                 ControlReply.Refused(conflict(base))
             } else {
-                configuration.after(request.change, ::keptAt).mapBoth({ accept(it, command) }, ControlReply::Refused)
+                configuration
+                    .after(request.change, ::configurationAt)
+                    .mapBoth({ accept(it, command) }, ControlReply::Refused)
             }
         operations[request.operationId] = reply
-        while (operations.size > KEPT_OPERATIONS) operations.remove(operations.keys.first())
+        while (operations.size > MAX_OPERATION_RECORDS) operations.remove(operations.keys.first())
         return reply
     }
 
     private fun conflict(base: Long): Failure {
-        val winner = history.lastOrNull()?.operator ?: "nobody"
-        val detail = "expected base number ${configuration.number}, set by $winner, got $base"
+        val lastOperator = history.lastOrNull()?.operator ?: "nobody"
+        val detail = "expected base number ${configuration.number}, set by $lastOperator, got $base"
         return ErrorKind.VersionConflict.notRun(detail)
     }
 
-    private fun keptAt(number: Long): Configuration? = kept.find { it.number == number }
+    private fun configurationAt(number: Long): Configuration? = previousConfigurations.find { it.number == number }
 
     private fun accept(
         next: Configuration,
         command: ControlCommand.Change,
     ): ControlReply {
-        kept.addLast(configuration)
-        while (kept.size > KEPT_CONFIGURATIONS) kept.removeFirst()
+        previousConfigurations.addLast(configuration)
+        while (previousConfigurations.size > MAX_PREVIOUS_CONFIGURATIONS) previousConfigurations.removeFirst()
         configuration = next
         history.addLast(
             HistoryEntry(next.number, command.request.operator, command.atMillis, command.request.change),
         )
-        while (history.size > KEPT_HISTORY) history.removeFirst()
+        while (history.size > MAX_HISTORY_ENTRIES) history.removeFirst()
         return ControlReply.Changed(ChangeReply(next.number))
     }
 
@@ -208,7 +210,7 @@
         controlCbor.encodeToByteArray(
             ControlSnapshot(
                 configuration = configuration,
-                kept = kept.toList(),
+                previousConfigurations = previousConfigurations.toList(),
                 history = history.toList(),
                 operations = operations.map { (id, reply) -> OperationRecord(id, reply) },
                 ledger = ledger.snapshot(),
@@ -220,8 +222,8 @@
     override fun restore(snapshot: ByteArray) {
         val restored = controlCbor.decodeFromByteArray<ControlSnapshot>(snapshot)
         lock.withLock {
-            kept.clear()
-            kept.addAll(restored.kept)
+            previousConfigurations.clear()
+            previousConfigurations.addAll(restored.previousConfigurations)
             history.clear()
             history.addAll(restored.history)
             operations.clear()
--- a/control/src/main/kotlin/io/carawaytrack/control/Expiry.kt
+++ b/control/src/main/kotlin/io/carawaytrack/control/Expiry.kt
@@ -1,5 +1,6 @@
 /*
- * Drops old request records, session pins and bills. The leading host proposes it, so that every host drops the same.
+ * Expires old request records, session pins and bills. The leader proposes the expiry through the log, so that every
+ * host deletes the same records.
  */
 package io.carawaytrack.control
 
@@ -29,10 +30,10 @@
     private suspend fun expire() {
         val beforeMillis = wallClockMillis() - retentionMillis
         state.configuration.tables.organisations.forEach { organisation ->
-            val command = ControlCommand.Record(LedgerCommand.Expire(organisation.name, beforeMillis))
+            val command = ControlCommand.LedgerUpdate(LedgerCommand.Expire(organisation.name, beforeMillis))
             replica
                 .propose(command.encode())
-                .onFailure { logger.warn { "records of ${organisation.name} not expired: ${it.detail}" } }
+                .onFailure { logger.warn { "failed to expire records of ${organisation.name}: ${it.detail}" } }
         }
     }
 }
--- a/control/src/main/kotlin/io/carawaytrack/control/HolderRegistry.kt
+++ b/control/src/main/kotlin/io/carawaytrack/control/HolderRegistry.kt
@@ -1,6 +1,6 @@
 /*
- * Who holds a lease and what the agents announced, as the leading control host has heard it. Nothing of it is
- * replicated: it is rebuilt from the heartbeats within a second or two of a change of leader.
+ * Tracks the lease holders and the upstreams announced by agents, as reported to the leader in heartbeats. None of it
+ * is replicated: a new leader rebuilds it from heartbeats within one to two seconds.
  */
 package io.carawaytrack.control
 
@@ -18,46 +18,50 @@
 import kotlin.concurrent.withLock
 import kotlin.math.abs
 
-/** Silence after which an upstream counts as gone, in milliseconds. */
-internal const val UPSTREAM_SILENCE_MILLIS = 2_000L
+/** Time without a heartbeat after which an upstream expires, in milliseconds. */
+internal const val UPSTREAM_TIMEOUT_MILLIS = 2_000L
 
-/** Longest time for which entries are not told of a load that has moved a little, in milliseconds. */
-private const val LOAD_REFRESH_MILLIS = 2_000L
+/** Interval at which an insignificant load change is reported to entries, in milliseconds. */
+private const val LOAD_REFRESH_INTERVAL_MILLIS = 2_000L
 
-/** Part of the permits by which a load must move to be told at once. */
-private const val MATERIAL_SHARE = 4
+/** A load change of more than the permits divided by this number is reported to entries at once. */
+private const val SIGNIFICANT_CHANGE_DIVISOR = 4
 
-/** Silence after which a holder is no longer shown, in milliseconds. */
-private const val HOLDER_FORGOTTEN_MILLIS = 60_000L
+/** Time without a heartbeat after which a holder is no longer listed, in milliseconds. */
+private const val HOLDER_RETENTION_MILLIS = 60_000L
 
 private data class HolderRecord(
     val peer: PeerIdentity,
     val configurationNumber: Long,
-    val heardAtMillis: Long,
+    val lastHeartbeatAtMillis: Long,
 )
 
-/** An upstream as the entries have been told of it; [announcement] may lag behind what was heard last. */
+/** Upstream as reported to entries. [announcement] may be older than the last one received. */
 private data class UpstreamRecord(
     val announcement: Announcement,
-    val heardAtMillis: Long,
-    val toldAtMillis: Long,
+    val lastHeartbeatAtMillis: Long,
+    val reportedAtMillis: Long,
     val changeNumber: Long,
-    val gone: Boolean,
+    val expired: Boolean,
 )
 
-/** Returns whether entries are to be told of [next]: at once when it matters, else after [LOAD_REFRESH_MILLIS]. */
+/**
+ * Returns whether [next] is to be reported to entries. An insignificant load change is reported only after
+ * [LOAD_REFRESH_INTERVAL_MILLIS]; every other change is reported at once.
+ */
 private fun UpstreamRecord.isOutdatedBy(
     next: Announcement,
     nowMillis: Long,
 ): Boolean {
-    if (gone || announcement.copy(load = next.load) != next) return true
+    if (expired || announcement.copy(load = next.load) != next) return true
     if (announcement.load == next.load) return false
-    return nowMillis - toldAtMillis >= LOAD_REFRESH_MILLIS || announcement.load.differsMuchFrom(next.load)
+    return nowMillis - reportedAtMillis >= LOAD_REFRESH_INTERVAL_MILLIS ||
+        announcement.load.differsSignificantlyFrom(next.load)
 }
 
-private fun UpstreamLoad.differsMuchFrom(next: UpstreamLoad): Boolean {
-    val material = maxOf(permits, 1) / MATERIAL_SHARE
-    return abs(next.running - running) > material || abs(next.permits - permits) > material
+private fun UpstreamLoad.differsSignificantlyFrom(next: UpstreamLoad): Boolean {
+    val threshold = maxOf(permits, 1) / SIGNIFICANT_CHANGE_DIVISOR
+    return abs(next.running - running) > threshold || abs(next.permits - permits) > threshold
 }
 
 private data class SuspectRecord(
@@ -65,7 +69,7 @@
     val changeNumber: Long,
 )
 
-internal data class SuspectNews(
+internal data class SuspectUpdate(
     val number: Long,
     val reports: List<SuspectReport>,
 )
@@ -79,85 +83,90 @@
     private val suspects = HashMap<NodeId, SuspectRecord>()
     private var changeNumber = 0L
 
-    /** No upstream falls silent before this moment; heartbeats only move it on. */
-    private var nextSilenceAtMillis = Long.MAX_VALUE
+    /** Lower bound of the time at which the next upstream expires. A heartbeat can only move the actual time later. */
+    private var earliestExpiryMillis = Long.MAX_VALUE
     private var leadingSinceMillis: Long? = null
 
-    /** Starts anew when this host begins to lead: what an earlier leader heard is out of date. */
-    fun lead(leading: Boolean): Unit = lock.withLock {
+    /** Clears holders and upstreams when leadership changes, since heartbeats from an earlier term are out of date. */
+    fun setLeading(leading: Boolean): Unit = lock.withLock {
         if (leading == (leadingSinceMillis != null)) return
         leadingSinceMillis = if (leading) nowMillis() else null
         upstreams.clear()
         holders.clear()
     }
 
-    fun heard(
+    fun recordHeartbeat(
         peer: PeerIdentity,
         heartbeat: Heartbeat,
     ): Unit = lock.withLock {
         holders[peer.node] = HolderRecord(peer, heartbeat.configurationNumber, nowMillis())
-        heartbeat.announcement?.let(::announced)
+        heartbeat.announcement?.let(::recordAnnouncement)
         heartbeat.suspects?.let { suspects[it.origin] = SuspectRecord(it, ++changeNumber) }
     }
 
-    /** Returns the suspects reported after the change [number], and the number to ask from next. */
-    fun suspectsSince(number: Long): SuspectNews = lock.withLock {
-        SuspectNews(changeNumber, suspects.values.filter { it.changeNumber > number }.map { it.report })
+    /** Returns the suspect reports received after the change [number], and the number to pass to the next call. */
+    fun suspectsSince(number: Long): SuspectUpdate = lock.withLock {
+        SuspectUpdate(changeNumber, suspects.values.filter { it.changeNumber > number }.map { it.report })
     }
 
-    private fun announced(announcement: Announcement) {
-        val known = upstreams[announcement.upstream]
-        if (known != null && known.announcement.incarnation > announcement.incarnation) return
+    private fun recordAnnouncement(announcement: Announcement) {
+        val existing = upstreams[announcement.upstream]
+        if (existing != null && existing.announcement.incarnation > announcement.incarnation) return
         val now = nowMillis()
-        val told =
-            if (known == null || known.isOutdatedBy(announcement, now)) {
-                UpstreamRecord(announcement, now, toldAtMillis = now, ++changeNumber, gone = false)
+        val record =
+            if (existing == null || existing.isOutdatedBy(announcement, now)) {
+                UpstreamRecord(announcement, now, reportedAtMillis = now, ++changeNumber, expired = false)
             } else {
-                known.copy(heardAtMillis = now)
+                existing.copy(lastHeartbeatAtMillis = now)
             }
-        upstreams[announcement.upstream] = told
-        nextSilenceAtMillis = minOf(nextSilenceAtMillis, now + UPSTREAM_SILENCE_MILLIS)
+        upstreams[announcement.upstream] = record
+        earliestExpiryMillis = minOf(earliestExpiryMillis, now + UPSTREAM_TIMEOUT_MILLIS)
     }
 
-    /** Returns what has changed since [number], or null when nothing has. */
+    /**
+     * Returns the upstreams added, changed or removed since the change [number], or null if there are none. For the
+     * number 0, the result is never null.
+     */
     fun membershipSince(number: Long): Membership? = lock.withLock {
-        markSilent()
+        expireUpstreams()
         val changed = upstreams.values.filter { it.changeNumber > number }
         if (changed.isEmpty() && number > 0) return null
         Membership(
             number = changeNumber,
-            complete = number == 0L && complete(),
-            upstreams = changed.filterNot(UpstreamRecord::gone).map(UpstreamRecord::announcement),
-            removed = changed.filter(UpstreamRecord::gone).map { it.announcement.upstream },
+            complete = number == 0L && canSendCompleteList(),
+            upstreams = changed.filterNot(UpstreamRecord::expired).map(UpstreamRecord::announcement),
+            removed = changed.filter(UpstreamRecord::expired).map { it.announcement.upstream },
         )
     }
 
-    // A delta adds and removes by name; a full list replaces all, which it may only once every agent has had its turn.
-    private fun complete(): Boolean {
+    // A complete list replaces the one that an entry holds, while a delta only adds and removes single upstreams. A new
+    // leader may send a complete list only after every live agent has had time to send a heartbeat.
+    private fun canSendCompleteList(): Boolean {
         val since = leadingSinceMillis ?: return false
-        return nowMillis() - since > UPSTREAM_SILENCE_MILLIS
+        return nowMillis() - since > UPSTREAM_TIMEOUT_MILLIS
     }
 
-    private fun markSilent() {
+    private fun expireUpstreams() {
         val now = nowMillis()
-        if (now <= nextSilenceAtMillis) return
-        val oldest = now - UPSTREAM_SILENCE_MILLIS
+        if (now <= earliestExpiryMillis) return
+        val expiredBeforeMillis = now - UPSTREAM_TIMEOUT_MILLIS
         upstreams.replaceAll { _, record ->
-            if (record.gone || record.heardAtMillis >= oldest) return@replaceAll record
-            record.copy(gone = true, changeNumber = ++changeNumber)
+            if (record.expired || record.lastHeartbeatAtMillis >= expiredBeforeMillis) return@replaceAll record
+            record.copy(expired = true, changeNumber = ++changeNumber)
         }
-        val heard = upstreams.values.filterNot(UpstreamRecord::gone).minOfOrNull(UpstreamRecord::heardAtMillis)
-        nextSilenceAtMillis = heard?.plus(UPSTREAM_SILENCE_MILLIS) ?: Long.MAX_VALUE
+        val oldestHeartbeatAtMillis =
+            upstreams.values.filterNot(UpstreamRecord::expired).minOfOrNull(UpstreamRecord::lastHeartbeatAtMillis)
+        earliestExpiryMillis = oldestHeartbeatAtMillis?.plus(UPSTREAM_TIMEOUT_MILLIS) ?: Long.MAX_VALUE
     }
 
     fun announcements(): List<Announcement> = lock.withLock {
-        markSilent()
-        upstreams.values.filterNot(UpstreamRecord::gone).map(UpstreamRecord::announcement)
+        expireUpstreams()
+        upstreams.values.filterNot(UpstreamRecord::expired).map(UpstreamRecord::announcement)
     }
 
     fun statuses(): List<HolderStatus> = lock.withLock {
         val now = nowMillis()
-        holders.values.removeIf { now - it.heardAtMillis > HOLDER_FORGOTTEN_MILLIS }
+        holders.values.removeIf { now - it.lastHeartbeatAtMillis > HOLDER_RETENTION_MILLIS }
         holders.values
             .filter { it.peer.role != NodeRole.Control }
             .map { it.toStatus(now) }
@@ -165,5 +174,5 @@
     }
 
     private fun HolderRecord.toStatus(now: Long) =
-        HolderStatus(peer.node, peer.role, peer.zone, configurationNumber, now - heardAtMillis)
+        HolderStatus(peer.node, peer.role, peer.zone, configurationNumber, now - lastHeartbeatAtMillis)
 }
--- a/control/src/main/kotlin/io/carawaytrack/control/HolderService.kt
+++ b/control/src/main/kotlin/io/carawaytrack/control/HolderService.kt
@@ -1,6 +1,6 @@
 /*
- * Serves the links of entries, agents and the other control hosts. A lease is granted only after a quorum has confirmed
- * that this host still leads, so that a cut-off leader cannot keep an old configuration alive.
+ * Serves links from entries, agents and other control hosts. A lease is granted only after a quorum has confirmed that
+ * this host still leads, so that a partitioned leader cannot extend leases on an outdated configuration.
  */
 package io.carawaytrack.control
 
@@ -39,15 +39,15 @@
     private val members: () -> Map<NodeId, HostPort>,
     private val metrics: ControlMetrics,
 ) {
-    private val links = ConcurrentHashMap<Link, HolderLink>()
+    private val links = ConcurrentHashMap<Link, SuspectCursor>()
 
-    /** Sends [configuration] to every holder that is connected here. */
+    /** Sends [configuration] to every holder connected to this host. */
     fun push(configuration: Configuration) {
         links.keys.filter { it.peer.role != NodeRole.Control }.forEach { it.offer(ConfigurationPush(configuration)) }
     }
 
     suspend fun serve(link: Link) {
-        links[link] = HolderLink()
+        links[link] = SuspectCursor()
         try {
             coroutineScope { receiveAll(link) }
         } finally {
@@ -64,29 +64,29 @@
                     ) {
                         replica.receive(link.peer.node, message.payload)
                     }
-                is Heartbeat -> launch { answer(link, message) }
-                is LedgerCall -> launch { answer(link, message) }
-                else -> logger.warn { "ignored a ${message::class.simpleName} from ${link.peer.node}" }
+                is Heartbeat -> launch { handleHeartbeat(link, message) }
+                is LedgerCall -> launch { handleLedgerCall(link, message) }
+                else -> logger.warn { "ignored unexpected ${message::class.simpleName} from ${link.peer.node}" }
             }
         }
     }
 
-    private suspend fun answer(
+    private suspend fun handleHeartbeat(
         link: Link,
         heartbeat: Heartbeat,
     ) {
         replica.confirm().getOrElse {
-            registry.lead(leading = false)
+            registry.setLeading(leading = false)
             link.send(NotLeading(heartbeat.sequence, leaderAddress()))
             return
         }
-        registry.lead(leading = true)
-        registry.heard(link.peer, heartbeat)
+        registry.setLeading(leading = true)
+        registry.recordHeartbeat(link.peer, heartbeat)
         metrics.heartbeat(link.peer.role)
-        link.send(grant(link, heartbeat))
+        link.send(leaseGrant(link, heartbeat))
     }
 
-    private fun grant(
+    private fun leaseGrant(
         link: Link,
         heartbeat: Heartbeat,
     ): LeaseGrant {
@@ -99,41 +99,41 @@
             configurationNumber = configuration.number,
             configuration = configuration.takeIf { it.number > heartbeat.configurationNumber },
             membership = membership,
-            suspects = if (link.peer.role == NodeRole.Agent) suspectsFor(link) else emptyList(),
+            suspects = if (link.peer.role == NodeRole.Agent) newSuspects(link) else emptyList(),
         )
     }
 
-    private fun suspectsFor(link: Link): List<SuspectReport> {
-        val held = links[link] ?: return emptyList()
-        val news = registry.suspectsSince(held.suspectsNumber)
-        held.suspectsNumber = news.number
-        return news.reports
+    private fun newSuspects(link: Link): List<SuspectReport> {
+        val suspectCursor = links[link] ?: return emptyList()
+        val update = registry.suspectsSince(suspectCursor.lastNumber)
+        suspectCursor.lastNumber = update.number
+        return update.reports
     }
 
-    private suspend fun answer(
+    private suspend fun handleLedgerCall(
         link: Link,
         call: LedgerCall,
     ) {
-        val command = ControlCommand.Record(decodeLedgerCommand(call.command))
+        val command = ControlCommand.LedgerUpdate(decodeLedgerCommand(call.command))
         val committed = replica.propose(command.encode())
         val reply =
             committed.mapBoth(
-                { LedgerReply(call.call, reply = recorded(it)) },
+                { LedgerReply(call.call, reply = encodeLedgerReply(it)) },
                 { LedgerReply(call.call, failure = it) },
             )
         link.send(reply)
     }
 
-    private fun recorded(reply: ByteArray): ByteArray? {
+    private fun encodeLedgerReply(reply: ByteArray): ByteArray? {
         val decoded = decodeControlReply(reply)
-        return (decoded as? ControlReply.Recorded)?.reply?.encode()
+        return (decoded as? ControlReply.LedgerUpdated)?.reply?.encode()
     }
 
     private fun leaderAddress(): HostPort? = replica.status().leader?.let(members()::get)
 }
 
-/** What this host has told the holder at the other end of a link. */
-private class HolderLink {
+/** Tracks up to which change suspect reports have been sent on a link. */
+private class SuspectCursor {
     @Volatile
-    var suspectsNumber = 0L
+    var lastNumber = 0L
 }
--- a/control/src/main/kotlin/io/carawaytrack/control/Main.kt
+++ b/control/src/main/kotlin/io/carawaytrack/control/Main.kt
@@ -1,5 +1,5 @@
 /*
- * The program `caraway-control`: one of the hosts that keep the configuration and the request ledger.
+ * The `caraway-control` program: a control host, which stores the configuration and the request ledger.
  */
 package io.carawaytrack.control
 
@@ -23,18 +23,22 @@
 import java.security.SecureRandom
 import java.util.concurrent.Callable
 
-/** Starts a control host from the command line. */
+/** Runs the `caraway-control` command line. */
 public fun main(arguments: Array<String>): Unit = runCommand(ControlMain(), arguments)
 
 @Command(
     name = "caraway-control",
     mixinStandardHelpOptions = true,
-    description = ["Keeps the configuration and the request ledger."],
+    description = ["Stores the configuration and the request ledger."],
     subcommands = [InitCommand::class, RunCommand::class],
 )
 private class ControlMain
 
-@Command(name = "init", mixinStandardHelpOptions = true, description = ["Prepares an empty data folder, once."])
+@Command(
+    name = "init",
+    mixinStandardHelpOptions = true,
+    description = ["Initialises an empty data folder, once per host."],
+)
 private class InitCommand : Callable<Int> {
     @Option(names = ["--settings"], required = true, description = ["Settings file in TOML."])
     private lateinit var settingsFile: Path
@@ -44,11 +48,11 @@
         val identity = FolderIdentity(settings.clusterId, settings.process.node, SecureRandom().nextLong())
         return openFolder(settings)
             .andThen { disk -> disk.use { initialiseFolder(it, identity) } }
-            .mapBoth({ 0 }, ::reported)
+            .mapBoth({ 0 }, ::reportFailure)
     }
 }
 
-private fun reported(failure: StorageFailure): Int {
+private fun reportFailure(failure: StorageFailure): Int {
     System.err.println(failure.detail)
     return STORAGE_EXIT_CODE
 }
@@ -58,7 +62,7 @@
     return openFileDisk(settings.dataFolder)
 }
 
-@Command(name = "run", mixinStandardHelpOptions = true, description = ["Serves until it is told to stop."])
+@Command(name = "run", mixinStandardHelpOptions = true, description = ["Runs the control host until it is stopped."])
 private class RunCommand : Callable<Int> {
     @Option(names = ["--settings"], required = true, description = ["Settings file in TOML."])
     private lateinit var settingsFile: Path
--- a/control/src/main/kotlin/io/carawaytrack/control/Peers.kt
+++ b/control/src/main/kotlin/io/carawaytrack/control/Peers.kt
@@ -1,6 +1,6 @@
 /*
- * The links to the other control hosts. Messages of the replicated log may be lost, so one that cannot be sent at once
- * is dropped; the log sends again what matters.
+ * Maintains the links to the other control hosts. A message that cannot be sent at once is dropped, since the
+ * replicated log tolerates lost messages and retries those that matter.
  */
 package io.carawaytrack.control
 
@@ -20,7 +20,7 @@
 
 private val logger = KotlinLogging.logger {}
 
-private const val REDIAL_MILLIS = 200L
+private const val RECONNECT_DELAY_MILLIS = 200L
 
 internal class Peers(
     private val hub: LinkHub,
@@ -28,12 +28,12 @@
     private val self: NodeId,
 ) {
     private val links = ConcurrentHashMap<NodeId, Link>()
-    private val dialling = ConcurrentHashMap<NodeId, Job>()
+    private val connectionJobs = ConcurrentHashMap<NodeId, Job>()
 
-    /** Keeps links to the other hosts of [members], also to those that were not known before. */
-    fun reach(members: Map<NodeId, HostPort>) {
+    /** Maintains links to the other hosts of [members] and starts connecting to new ones. */
+    fun connect(members: Map<NodeId, HostPort>) {
         members.filterKeys { it != self }.forEach { (node, address) ->
-            dialling.computeIfAbsent(node) { scope.launch { stayConnected(node, address) } }
+            connectionJobs.computeIfAbsent(node) { scope.launch { stayConnected(node, address) } }
         }
     }
 
@@ -54,19 +54,19 @@
                     logger.debug { failure.detail }
                     null
                 }
-            if (link != null) hold(node, link)
-            delay(REDIAL_MILLIS)
+            if (link != null) awaitClose(node, link)
+            delay(RECONNECT_DELAY_MILLIS)
         }
     }
 
-    private suspend fun hold(
+    private suspend fun awaitClose(
         node: NodeId,
         link: Link,
     ) {
-        if (link.peer.node != node) logger.warn { "expected control host $node, got ${link.peer.node}" }
+        if (link.peer.node != node) logger.warn { "expected a link to control host $node, got ${link.peer.node}" }
         link.use {
             links[node] = link
-            // The acceptor sends nothing on this link; receiving only notices its end.
+            // The accepting side sends nothing on this link; receive() only detects when the link is closed.
             while (link.receive() != null) continue
         }
         links.remove(node, link)
--- a/control/src/test/kotlin/io/carawaytrack/control/ControlStateTest.kt
+++ b/control/src/test/kotlin/io/carawaytrack/control/ControlStateTest.kt
@@ -1,5 +1,5 @@
 /*
- * The replicated state by its commands alone: what racing operators, resends, restarts and withdrawals lead to.
+ * Tests the replicated state through its commands: concurrent operators, retries, restarts and withdrawn versions.
  */
 package io.carawaytrack.control
 
@@ -67,11 +67,11 @@
 
 class ControlStateTest {
     @Test
-    fun `of two operators with the same base number one wins and the other is told who`() {
+    fun `of two changes with the same base number, the second is refused and names the operator of the first`() {
         val state = ControlState()
         expectThat(state.change("a", zone("z1"), base = 0, operator = "asha")).isEqualTo(accepted(1))
-        val lost = state.change("b", zone("z2"), base = 0, operator = "bina")
-        expectThat(lost).isA<ControlReply.Refused>().and {
+        val conflicting = state.change("b", zone("z2"), base = 0, operator = "bina")
+        expectThat(conflicting).isA<ControlReply.Refused>().and {
             get { failure.kind }.isEqualTo(ErrorKind.VersionConflict)
             get { failure.detail }.contains("asha")
         }
@@ -80,7 +80,7 @@
     }
 
     @Test
-    fun `a resent operation gets its first answer, also after a restart`() {
+    fun `a retried operation returns its first reply, also after a restart`() {
         val state = ControlState()
         state.change("a", zone("z1"), base = 0)
         val refused = state.change("b", zone("z2"), base = 0)
@@ -94,13 +94,13 @@
     }
 
     @Test
-    fun `the configuration never goes back over 500 changes and restarts`() {
+    fun `the configuration number never decreases over 500 changes with restarts`() {
         repeat(SEEDS) { seed ->
             val random = Random(seed)
-            val seen = mutableListOf(0L)
-            val hears = { inForce: Configuration -> seen += inForce.number }
+            val observedNumbers = mutableListOf(0L)
+            val onConfiguration = { inForce: Configuration -> observedNumbers += inForce.number }
             val steady = ControlState()
-            var restarting = ControlState(hears)
+            var restarting = ControlState(onConfiguration)
             repeat(CHANGES) { step ->
                 val change = randomChange(random, step)
                 val base = if (random.nextInt(4) == 0) steady.configuration.number - random.nextInt(2) else null
@@ -108,12 +108,12 @@
                 val expected = steady.change(operation, change, base)
                 expectThat(restarting.change(operation, change, base)).isEqualTo(expected)
                 if (random.nextInt(10) == 0) {
-                    restarting = ControlState(hears).also { it.restore(restarting.snapshot()) }
+                    restarting = ControlState(onConfiguration).also { it.restore(restarting.snapshot()) }
                 }
             }
             expectThat(restarting.configuration).describedAs("seed $seed").isEqualTo(steady.configuration)
-            expectThat(seen.zipWithNext().all { (earlier, later) -> earlier <= later })
-                .describedAs("numbers never fall under seed $seed")
+            expectThat(observedNumbers.zipWithNext().all { (earlier, later) -> earlier <= later })
+                .describedAs("numbers never decrease with seed $seed")
                 .isTrue()
             val numbers = steady.historyFrom(0).map { it.number }
             expectThat(numbers).isEqualTo((1..steady.configuration.number).toList())
@@ -131,7 +131,7 @@
     }
 
     @Test
-    fun `a rollback restores what was in force under a new number`() {
+    fun `a rollback restores an earlier configuration under a new number`() {
         val state = ControlState()
         state.change("a", zone("z1"))
         state.change("b", zone("z2"))
@@ -140,7 +140,7 @@
     }
 
     @Test
-    fun `an intent is judged by the configuration in force at its place in the log`() {
+    fun `an intent is checked against the configuration in force at its position in the log`() {
         val state = ControlState()
         expectThat(state.begin("r1")).isA<LedgerReply.Started>()
         state.change("a", ConfigurationChange.SetVersion(pen, VersionState.Withdrawn))
@@ -160,11 +160,11 @@
                 timeoutMillis = 1,
                 atMillis = 0,
             )
-        val reply = decodeControlReply(apply(0, ControlCommand.Record(command).encode()))
-        return (reply as ControlReply.Recorded).reply
+        val reply = decodeControlReply(apply(0, ControlCommand.LedgerUpdate(command).encode()))
+        return (reply as ControlReply.LedgerUpdated).reply
     }
 
-    private data class Fault(
+    private data class InvalidChange(
         val name: String,
         val change: ConfigurationChange,
         val kind: ErrorKind,
@@ -173,42 +173,46 @@
     private val pool = Pool(drafts, ServiceKind.Model, listOf(PoolMember(pen), PoolMember(penNext)))
     private val rollout = Rollout("r", drafts, pen, penNext, percent = 5, phase = RolloutPhase.Running)
 
-    private val faults =
+    private val invalidChanges =
         listOf(
-            Fault(
+            InvalidChange(
                 "a roll-out in a pool that does not exist",
                 ConfigurationChange.SetRollout(rollout.copy(pool = PoolName("none"))),
                 ErrorKind.NotFound,
             ),
-            Fault(
+            InvalidChange(
                 "a roll-out to a version outside its pool",
                 ConfigurationChange.SetRollout(rollout.copy(to = ModelVersion("pen", "3"))),
                 ErrorKind.NotFound,
             ),
-            Fault(
+            InvalidChange(
                 "a roll-out from a version outside its pool",
                 ConfigurationChange.SetRollout(rollout.copy(from = ModelVersion("pen", "3"))),
                 ErrorKind.NotFound,
             ),
-            Fault(
+            InvalidChange(
                 "a percentage over 100",
                 ConfigurationChange.SetRollout(rollout.copy(percent = 101)),
                 ErrorKind.MalformedRequest,
             ),
-            Fault(
+            InvalidChange(
                 "a step of a roll-out that does not exist",
                 ConfigurationChange.AdvanceRollout("none", RolloutPhase.Running),
                 ErrorKind.NotFound,
             ),
-            Fault("a rollback to a number never in force", ConfigurationChange.RollbackTo(77), ErrorKind.NotFound),
+            InvalidChange(
+                "a rollback to a number never in force",
+                ConfigurationChange.RollbackTo(77),
+                ErrorKind.NotFound,
+            ),
         )
 
     @TestFactory
-    fun `a change that does not fit is refused and changes nothing`(): List<DynamicTest> = faults.map { fault ->
-        dynamicTest(fault.name) {
+    fun `an invalid change is refused`(): List<DynamicTest> = invalidChanges.map { invalid ->
+        dynamicTest(invalid.name) {
             val before = Configuration(number = 4, tables = Tables(pools = listOf(pool)))
-            val after = before.after(fault.change) { null }
-            expectThat(after.getError()?.kind).isEqualTo(fault.kind)
+            val after = before.after(invalid.change) { null }
+            expectThat(after.getError()?.kind).isEqualTo(invalid.kind)
             expectThat(after.isOk).isFalse()
         }
     }
--- a/control/src/test/kotlin/io/carawaytrack/control/HistoryTest.kt
+++ b/control/src/test/kotlin/io/carawaytrack/control/HistoryTest.kt
@@ -1,7 +1,7 @@
 /*
- * Many seeded orders of requests, resends, deaths, cuts and operators' changes against the real ledger and control
- * state. Entries and agents are small models that keep the rules of their leases and gates; what the upstreams ran is
- * recorded and judged at the end.
+ * Runs seeded random sequences of requests, retries, crashes, partitions and operators' changes against the real ledger
+ * and control state. Entries and agents are simplified models that follow the rules of leases and admission. The
+ * executions on upstreams are recorded and checked for violations at the end.
  */
 package io.carawaytrack.control
 
@@ -29,20 +29,20 @@
 
 private const val SEEDS = 300
 private const val STEPS = 1_500
-private const val LONGEST_STEP_MILLIS = 40
+private const val MAX_STEP_MILLIS = 40
 private const val TIMEOUT_MILLIS = 4_000L
 private val market = OrganisationName("market")
 private val versions = listOf(ModelVersion("pen", "1"), ModelVersion("pen", "2"))
 private val zones = listOf(ZoneName("z1"), ZoneName("z2"))
 
-/** What a caller sends, again and again. */
+/** Request that a caller sends and retries. */
 private data class Call(
     val key: String,
     val session: SessionId?,
     val repeatable: Boolean,
 )
 
-private data class Order(
+private data class Attempt(
     val call: Call,
     val request: RequestId,
     val version: ModelVersion,
@@ -50,8 +50,8 @@
     val entry: Holder,
 )
 
-private data class Run(
-    val order: Order,
+private data class UpstreamExecution(
+    val attempt: Attempt,
     val upstream: UpstreamId,
     val zone: ZoneName,
     val atMillis: Long,
@@ -62,21 +62,21 @@
     val sentAtMillis: Long,
 )
 
-/** What an entry or an agent holds of the configuration and its lease. */
+/** Configuration and lease of an entry or agent. */
 private class Holder(
     val name: String,
     val zone: ZoneName,
 ) {
     var configuration = Configuration()
     var leaseUntilMillis = 0L
-    var cut = false
-    var dead = false
-    val numbers = mutableListOf(0L)
+    var partitioned = false
+    var crashed = false
+    val configurationNumbers = mutableListOf(0L)
     val grants = mutableListOf<Grant>()
 
     fun accept(grant: Grant) {
         if (grant.configuration.number > configuration.number) configuration = grant.configuration
-        numbers += configuration.number
+        configurationNumbers += configuration.number
         leaseUntilMillis = maxOf(leaseUntilMillis, grant.sentAtMillis + LEASE_MILLIS)
     }
 }
@@ -84,32 +84,32 @@
 private class History(
     seed: Int,
 ) {
-    val runs = mutableListOf<Run>()
-    val forbidden = mutableListOf<Pair<Long, (Run) -> Boolean>>()
+    val executions = mutableListOf<UpstreamExecution>()
+    val forbiddenExecutions = mutableListOf<Pair<Long, (UpstreamExecution) -> Boolean>>()
     val state = ControlState()
     val holders = mutableListOf<Holder>()
     private val random = Random(seed)
     private val calls = List(60) { Call("k$it", if (it % 2 == 0) SessionId("s${it % 20}") else null, it % 3 == 0) }
-    private val underWay = mutableListOf<Pair<Order, Holder>>()
-    private val running = mutableListOf<Pair<Order, Holder>>()
-    val answered = mutableListOf<Order>()
+    private val inFlight = mutableListOf<Pair<Attempt, Holder>>()
+    private val running = mutableListOf<Pair<Attempt, Holder>>()
+    val completed = mutableListOf<Attempt>()
     private var nowMillis = 0L
-    private var numbers = 0
+    private var nextId = 0
     private var entries = List(2) { holder("entry", zones[it]) }
     private var agents = List(4) { holder("agent", zones[it % 2]) }
 
     private fun holder(
         kind: String,
         zone: ZoneName,
-    ) = Holder("$kind-${numbers++}", zone).also(holders::add)
+    ) = Holder("$kind-${nextId++}", zone).also(holders::add)
 
-    fun play(): History {
+    fun simulate(): History {
         repeat(STEPS) {
-            nowMillis += random.nextInt(LONGEST_STEP_MILLIS)
+            nowMillis += random.nextInt(MAX_STEP_MILLIS)
             step()
         }
-        // The last reports arrive, each twice and in any order.
-        (answered + answered).shuffled(random).forEach(::settle)
+        // Delivers the last reports, each twice and in random order.
+        (completed + completed).shuffled(random).forEach(::reportOutcome)
         return this
     }
 
@@ -117,32 +117,34 @@
         in 0..8 -> heartbeat()
         in 9..15 -> grant()
         in 16..22 -> send(calls.random(random))
-        in 23..28 -> take(underWay)?.let(::arrive)
-        in 29..33 -> take(running)?.let(::complete)
-        in 34..35 -> if (answered.isNotEmpty()) settle(answered.random(random)) else Unit
-        36 -> entries = replaced(entries, "entry")
-        37 -> agents = replaced(agents, "agent")
-        38 -> (entries + agents).random(random).let { it.cut = !it.cut }
+        in 23..28 -> removeRandom(inFlight)?.let(::startAttempt)
+        in 29..33 -> removeRandom(running)?.let(::completeAttempt)
+        in 34..35 -> if (completed.isNotEmpty()) reportOutcome(completed.random(random)) else Unit
+        36 -> entries = replaceRandom(entries, "entry")
+        37 -> agents = replaceRandom(agents, "agent")
+        38 -> (entries + agents).random(random).let { it.partitioned = !it.partitioned }
         else -> if (random.nextInt(10) == 0) change() else Unit
     }
 
-    private fun <T> take(from: MutableList<T>): T? =
+    private fun <T> removeRandom(from: MutableList<T>): T? =
         if (from.isEmpty()) null else from.removeAt(random.nextInt(from.size))
 
     private fun heartbeat() {
         val holder = (entries + agents).random(random)
-        if (!holder.cut) holder.grants += Grant(state.configuration, nowMillis - random.nextInt(LONGEST_STEP_MILLIS))
+        if (!holder.partitioned) {
+            holder.grants += Grant(state.configuration, nowMillis - random.nextInt(MAX_STEP_MILLIS))
+        }
     }
 
     private fun grant() {
         val holder = (entries + agents).random(random)
-        take(holder.grants)?.let(holder::accept)
+        removeRandom(holder.grants)?.let(holder::accept)
     }
 
     private fun send(call: Call) {
         val entry = entries.random(random)
         if (entry.leaseUntilMillis <= nowMillis) return
-        val request = RequestId("r${numbers++}")
+        val request = RequestId("r${nextId++}")
         val begin =
             LedgerCommand.Begin(
                 organisation = market,
@@ -155,73 +157,73 @@
                 atMillis = nowMillis,
             )
         var reply = commit(begin)
-        // A lost reply: the entry sends its intent again, or dies with it.
+        // The reply is lost: the entry retries its intent, or crashes and never receives the reply.
         if (random.nextInt(5) == 0) reply = commit(begin)
         if (random.nextInt(10) == 0 || reply !is LedgerReply.Started) return
-        underWay += Order(call, reply.request, reply.version, reply.pinned, entry) to agents.random(random)
+        inFlight += Attempt(call, reply.request, reply.version, reply.pinned, entry) to agents.random(random)
     }
 
-    private fun arrive(message: Pair<Order, Holder>) {
-        val (order, agent) = message
-        if (agent.dead || random.nextInt(10) == 0) return
-        if (!admits(agent, order)) return refused(order)
-        runs += Run(order, UpstreamId(agent.name), agent.zone, nowMillis)
-        running += message
+    private fun startAttempt(assignment: Pair<Attempt, Holder>) {
+        val (attempt, agent) = assignment
+        if (agent.crashed || random.nextInt(10) == 0) return
+        if (!admits(agent, attempt)) return abandon(attempt)
+        executions += UpstreamExecution(attempt, UpstreamId(agent.name), agent.zone, nowMillis)
+        running += assignment
     }
 
     private fun admits(
         agent: Holder,
-        order: Order,
+        attempt: Attempt,
     ): Boolean {
-        val state = agent.configuration.stateOf(order.version)
-        val allowed = state == VersionState.Serving || (state == VersionState.Draining && order.pinned)
+        val state = agent.configuration.stateOf(attempt.version)
+        val allowed = state == VersionState.Serving || (state == VersionState.Draining && attempt.pinned)
         val inService = agent.configuration.inService(UpstreamId(agent.name), agent.zone)
         return agent.leaseUntilMillis > nowMillis && allowed && inService
     }
 
-    private fun refused(order: Order) {
-        if (!order.entry.dead) commit(LedgerCommand.Abandon(market, order.request))
+    private fun abandon(attempt: Attempt) {
+        if (!attempt.entry.crashed) commit(LedgerCommand.Abandon(market, attempt.request))
     }
 
-    private fun complete(message: Pair<Order, Holder>) {
-        if (!message.second.dead) answered += message.first
+    private fun completeAttempt(assignment: Pair<Attempt, Holder>) {
+        if (!assignment.second.crashed) completed += assignment.first
     }
 
-    // Entry and agent both report an end, each with its own idea of the bill.
-    private fun settle(order: Order) {
-        val bill = Bill(order.request, market, listOf(order.version), 1, 1, random.nextDouble())
-        val answer = StoredAnswer(200, null, ByteArray(0), order.version)
-        commit(LedgerCommand.Finish(market, order.request, answer, bill, nowMillis))
+    // Entry and agent both report the outcome, each with its own bill.
+    private fun reportOutcome(attempt: Attempt) {
+        val bill = Bill(attempt.request, market, listOf(attempt.version), 1, 1, random.nextDouble())
+        val answer = StoredAnswer(200, null, ByteArray(0), attempt.version)
+        commit(LedgerCommand.Finish(market, attempt.request, answer, bill, nowMillis))
     }
 
-    private fun replaced(
+    private fun replaceRandom(
         group: List<Holder>,
         kind: String,
     ): List<Holder> {
-        val victim = group.random(random).also { it.dead = true }
-        return group - victim + holder(kind, victim.zone)
+        val crashedHolder = group.random(random).also { it.crashed = true }
+        return group - crashedHolder + holder(kind, crashedHolder.zone)
     }
 
     private fun change() {
         val agent = agents.random(random)
         val atMillis = nowMillis + IN_FORCE_BOUND_MILLIS
         when (random.nextInt(3)) {
-            0 -> zoneOut(zones.random(random), atMillis)
+            0 -> takeZoneOut(zones.random(random), atMillis)
             1 -> {
                 commit(ConfigurationChange.SetUpstream(UpstreamId(agent.name), inService = false))
-                forbidden += atMillis to { it.upstream.value == agent.name }
+                forbiddenExecutions += atMillis to { it.upstream.value == agent.name }
             }
             else -> withdraw(versions.random(random), atMillis)
         }
     }
 
-    private fun zoneOut(
+    private fun takeZoneOut(
         zone: ZoneName,
         atMillis: Long,
     ) {
         if (state.configuration.zonesOut.isNotEmpty()) return
         commit(ConfigurationChange.SetZone(zone, inService = false))
-        forbidden += atMillis to { it.zone == zone }
+        forbiddenExecutions += atMillis to { it.zone == zone }
     }
 
     private fun withdraw(
@@ -230,72 +232,78 @@
     ) {
         if (state.configuration.versionStates.isNotEmpty()) return
         commit(ConfigurationChange.SetVersion(version, VersionState.Withdrawn))
-        forbidden += atMillis to { it.order.version == version }
+        forbiddenExecutions += atMillis to { it.attempt.version == version }
     }
 
     private fun commit(change: ConfigurationChange) {
-        val request = ChangeRequest("op-${numbers++}", change = change)
+        val request = ChangeRequest("op-${nextId++}", change = change)
         repeat(random.nextInt(1, 3)) { state.apply(0, ControlCommand.Change(request, nowMillis).encode()) }
     }
 
     private fun commit(command: LedgerCommand): LedgerReply {
-        val reply = decodeControlReply(state.apply(0, ControlCommand.Record(command).encode()))
-        return (reply as ControlReply.Recorded).reply
+        val reply = decodeControlReply(state.apply(0, ControlCommand.LedgerUpdate(command).encode()))
+        return (reply as ControlReply.LedgerUpdated).reply
     }
 }
 
 class HistoryTest {
     @Test
-    fun `what must always hold holds in every order of requests, deaths, cuts and changes`() {
-        val histories = (0 until SEEDS).associateWith { History(it).play() }
+    fun `invariants hold in every sequence of requests, crashes, partitions and changes`() {
+        val histories = (0 until SEEDS).associateWith { History(it).simulate() }
         histories.forEach { (seed, history) ->
-            expectThat(faults(history)).describedAs("faults under seed $seed").isEmpty()
+            expectThat(violations(history)).describedAs("violations with seed $seed").isEmpty()
         }
-        val runs = histories.values.sumOf { it.runs.size }
+        val executions = histories.values.sumOf { it.executions.size }
         val bills =
             histories.values.sumOf {
                 it.state.ledger
                     .bills(market)
                     .size
             }
-        val changes = histories.values.sumOf { it.forbidden.size }
-        expectThat(minOf(runs, bills, changes)).isGreaterThan(SEEDS)
-        println("seeds 0..${SEEDS - 1}, $STEPS steps each: $runs runs, $bills bills, $changes changes, no fault")
+        val changes = histories.values.sumOf { it.forbiddenExecutions.size }
+        expectThat(minOf(executions, bills, changes)).isGreaterThan(SEEDS)
+        println("seeds 0..${SEEDS - 1}, $STEPS steps each: $executions runs, $bills bills, $changes changes, no fault")
     }
 
-    private fun faults(history: History): List<String> = listOfNotNull(
-        "ran twice".takeIf { history.runs.filterNot { it.order.call.repeatable }.repeats { it.order.call.key } },
-        "billed twice".takeIf { billedTwice(history) },
-        "answered, not billed".takeIf { unbilled(history) },
-        "session on two versions".takeIf { sessionMoved(history) },
-        "configuration went back".takeIf {
-            history.holders.any { holder -> holder.numbers.zipWithNext().any { (earlier, later) -> later < earlier } }
+    private fun violations(history: History): List<String> = listOfNotNull(
+        "executed twice".takeIf {
+            history.executions.filterNot { it.attempt.call.repeatable }.hasDuplicates { it.attempt.call.key }
+        },
+        "billed twice".takeIf { hasDuplicateBill(history) },
+        "completed but not billed".takeIf { hasUnbilledAttempt(history) },
+        "session on two versions".takeIf { sessionChangedVersion(history) },
+        "configuration number decreased".takeIf {
+            history.holders.any { holder ->
+                holder.configurationNumbers.zipWithNext().any { (earlier, later) -> later < earlier }
+            }
         },
-        "new work after the bound".takeIf {
-            history.forbidden.any { (from, matches) -> history.runs.any { it.atMillis > from && matches(it) } }
+        "execution after the in-force bound".takeIf {
+            history.forbiddenExecutions.any { (from, matches) ->
+                history.executions.any { it.atMillis > from && matches(it) }
+            }
         },
     )
 
-    private fun unbilled(history: History): Boolean {
+    private fun hasUnbilledAttempt(history: History): Boolean {
         val billed =
             history.state.ledger
                 .bills(market)
                 .map { it.request }
-        return history.answered.any { it.request !in billed }
+        return history.completed.any { it.request !in billed }
     }
 
-    private fun billedTwice(history: History): Boolean {
-        val keyOf = history.runs.associate { it.order.request to it.order.call.key }
+    private fun hasDuplicateBill(history: History): Boolean {
+        val keyOf = history.executions.associate { it.attempt.request to it.attempt.call.key }
         return history.state.ledger
             .bills(market)
-            .repeats { keyOf[it.request] }
+            .hasDuplicates { keyOf[it.request] }
     }
 
-    private fun sessionMoved(history: History): Boolean = history.runs
-        .filter { it.order.call.session != null }
-        .groupBy { it.order.call.session }
+    private fun sessionChangedVersion(history: History): Boolean = history.executions
+        .filter { it.attempt.call.session != null }
+        .groupBy { it.attempt.call.session }
         .values
-        .any { runs -> runs.distinctBy { it.order.version }.size > 1 }
+        .any { executions -> executions.distinctBy { it.attempt.version }.size > 1 }
 
-    private fun <T> List<T>.repeats(by: (T) -> Any?): Boolean = distinctBy(by).size < size
+    private fun <T> List<T>.hasDuplicates(by: (T) -> Any?): Boolean = distinctBy(by).size < size
 }
--- a/control/src/test/kotlin/io/carawaytrack/control/HolderTest.kt
+++ b/control/src/test/kotlin/io/carawaytrack/control/HolderTest.kt
@@ -1,6 +1,5 @@
 /*
- * Leases and membership as the leading control host gives them out, with a replica that confirms or does not, and a
- * clock that the test moves.
+ * Tests leases and membership on the leading control host, with a fake replica and a manual clock.
  */
 package io.carawaytrack.control
 
@@ -45,18 +44,18 @@
 private val upstream = UpstreamId("engine-1")
 
 private class FakeReplica(
-    var leads: Boolean,
+    var leading: Boolean,
 ) : Replica {
     override suspend fun propose(command: ByteArray): Result<ByteArray, Failure> = Err(ErrorKind.NotLeader.notRun())
 
-    override suspend fun confirm(): Result<Unit, Failure> = if (leads) Ok(Unit) else Err(ErrorKind.NotLeader.notRun())
+    override suspend fun confirm(): Result<Unit, Failure> = if (leading) Ok(Unit) else Err(ErrorKind.NotLeader.notRun())
 
     override fun receive(
         from: NodeId,
         payload: ByteArray,
     ) = Unit
 
-    // A host that was cut off goes on believing that it leads.
+    // A partitioned host still assumes that it leads.
     override fun status() = ReplicaStatus(NodeId("c1"), NodeId("c2"), 1, 1, 1)
 
     override fun close() = Unit
@@ -70,7 +69,7 @@
         incarnation: Long = 1,
         leaving: Boolean = false,
         running: Int = 0,
-    ) = registry.heard(
+    ) = registry.recordHeartbeat(
         testPeer("agent-1", NodeRole.Agent),
         Heartbeat(
             sequence = 1,
@@ -89,32 +88,32 @@
         ),
     )
 
-    private fun Membership?.names() = this?.upstreams?.map(Announcement::upstream)
+    private fun Membership?.upstreamIds() = this?.upstreams?.map(Announcement::upstream)
 
     @Test
-    fun `an upstream that falls silent is gone after two seconds and returns when it is heard`() {
-        registry.lead(leading = true)
+    fun `an upstream without heartbeats is removed after two seconds and returns with the next one`() {
+        registry.setLeading(leading = true)
         announce()
-        val known = registry.membershipSince(0)!!.number
-        nowMillis += UPSTREAM_SILENCE_MILLIS
-        expectThat(registry.membershipSince(known)).isNull()
+        val lastNumber = registry.membershipSince(0)!!.number
+        nowMillis += UPSTREAM_TIMEOUT_MILLIS
+        expectThat(registry.membershipSince(lastNumber)).isNull()
         nowMillis += 1
-        val gone = registry.membershipSince(known)
-        expectThat(gone?.removed).isEqualTo(listOf(upstream))
+        val afterExpiry = registry.membershipSince(lastNumber)
+        expectThat(afterExpiry?.removed).isEqualTo(listOf(upstream))
         expectThat(registry.announcements()).isEmpty()
         announce()
-        expectThat(registry.membershipSince(gone!!.number).names()).isEqualTo(listOf(upstream))
+        expectThat(registry.membershipSince(afterExpiry!!.number).upstreamIds()).isEqualTo(listOf(upstream))
     }
 
     @Test
-    fun `an announced stop is passed on, and an earlier start of the agent cannot take it back`() {
-        registry.lead(leading = true)
+    fun `an announced shutdown is reported and cannot be revoked by an earlier incarnation`() {
+        registry.setLeading(leading = true)
         announce(incarnation = 2)
-        val known = registry.membershipSince(0)!!.number
+        val lastNumber = registry.membershipSince(0)!!.number
         announce(incarnation = 2, leaving = true)
         expectThat(
             registry
-                .membershipSince(known)!!
+                .membershipSince(lastNumber)!!
                 .upstreams
                 .single()
                 .leaving,
@@ -129,28 +128,28 @@
     }
 
     @Test
-    fun `a new leader calls its list complete only after every agent has had its turn`() {
-        registry.lead(leading = true)
+    fun `a new leader sends a complete list only after every agent had time for a heartbeat`() {
+        registry.setLeading(leading = true)
         expectThat(registry.membershipSince(0)!!.complete).isFalse()
-        nowMillis += UPSTREAM_SILENCE_MILLIS
+        nowMillis += UPSTREAM_TIMEOUT_MILLIS
         announce()
         expectThat(registry.membershipSince(0)!!.complete).isFalse()
         nowMillis += 1
         expectThat(registry.membershipSince(0)) {
             get { this?.complete }.isEqualTo(true)
-            get { names() }.isEqualTo(listOf(upstream))
+            get { upstreamIds() }.isEqualTo(listOf(upstream))
         }
-        registry.lead(leading = false)
-        registry.lead(leading = true)
+        registry.setLeading(leading = false)
+        registry.setLeading(leading = true)
         expectThat(registry.membershipSince(0)) {
             get { this?.complete }.isEqualTo(false)
-            get { names() }.isEqualTo(emptyList())
+            get { upstreamIds() }.isEqualTo(emptyList())
         }
     }
 
     @Test
-    fun `only a host whose quorum confirms it grants a lease`() = runTest {
-        val replica = FakeReplica(leads = false)
+    fun `a lease is granted only after a quorum confirms leadership`() = runTest {
+        val replica = FakeReplica(leading = false)
         val leader = HostPort("127.0.0.1", 7)
         val members = { mapOf(NodeId("c2") to leader) }
         val metrics = ControlMetrics(PrometheusRegistry())
@@ -160,7 +159,7 @@
         link.deliver(Heartbeat(1, 0))
         expectThat(link.sent()).isA<NotLeading>().get { this.leader }.isEqualTo(leader)
         expectThat(registry.statuses()).isEmpty()
-        replica.leads = true
+        replica.leading = true
         link.deliver(Heartbeat(2, 0))
         expectThat(link.sent()).isA<LeaseGrant>().and {
             get { sequence }.isEqualTo(2)
--- a/control/src/test/kotlin/io/carawaytrack/control/SettingsReferenceTest.kt
+++ b/control/src/test/kotlin/io/carawaytrack/control/SettingsReferenceTest.kt
@@ -1,5 +1,5 @@
 /*
- * The reference of settings and the example file, kept true to the code.
+ * Checks the settings reference and the example file against the code.
  */
 package io.carawaytrack.control
 
@@ -16,13 +16,13 @@
 
 class SettingsReferenceTest {
     @Test
-    fun `the reference lists every setting as the code reads it`() {
+    fun `the settings reference lists every setting`() {
         val rows = markdownRows(describeSettings { controlSettings() })
         expectThat(Files.readString(Path.of("../docs/SETTINGS.md"))).contains("$rows\n")
     }
 
     @Test
-    fun `the example file is free of faults`() {
+    fun `the example file is valid`() {
         expectThat(readSettings(Path.of("../examples/penmark/control.toml")) { controlSettings() }.getError()).isNull()
     }
 }
