--- a/control/src/main/kotlin/io/carawaytrack/control/Peers.kt
+++ b/control/src/main/kotlin/io/carawaytrack/control/Peers.kt
@@ -54,12 +54,12 @@
                     logger.debug { failure.detail }
                     null
                 }
-            if (link != null) awaitClose(node, link)
+            if (link != null) registerUntilClosed(node, link)
             delay(RECONNECT_DELAY_MILLIS)
         }
     }
 
-    private suspend fun awaitClose(
+    private suspend fun registerUntilClosed(
         node: NodeId,
         link: Link,
     ) {
--- a/membership/src/test/kotlin/io/carawaytrack/membership/ControlClientTest.kt
+++ b/membership/src/test/kotlin/io/carawaytrack/membership/ControlClientTest.kt
@@ -1,6 +1,6 @@
 /*
- * Tests the client of the control hosts against simulated hosts, message by message. The clock is manual, and every wait
- * is for a message.
+ * Tests the client of the control hosts against simulated hosts, message by message. The clock is manual, and every
+ * wait is for a message.
  */
 package io.carawaytrack.membership
 
