--- a/fleet/src/main/kotlin/io/carawaytrack/fleet/Catalog.kt
+++ b/fleet/src/main/kotlin/io/carawaytrack/fleet/Catalog.kt
@@ -27,7 +27,7 @@
  * @property timeoutMillis longest time that a request may be kept waiting for its answer
  * @property latencyTargetMillis time within which an answer, or the first event of a stream, is on time
  * @property pauseTargetMillis longest pause between two events of a stream that is still on time
- * @property rank urgency, 0 first
+ * @property priority urgency, 0 first
  * @property models models that may answer, the smallest first; empty where the caller names one or none is needed
  * @property maxAttempts upstreams on which one request may run
  * @property public whether requests need no key
@@ -43,7 +43,7 @@
     val timeoutMillis: Long,
     val latencyTargetMillis: Long,
     val pauseTargetMillis: Long,
-    val rank: Int,
+    val priority: Int,
     val models: List<String>,
     val shares: List<PoolShare>,
     val maxAttempts: Int,
@@ -51,7 +51,7 @@
     val sticky: Boolean,
 ) {
     /** Whether a request may be sent to another upstream although an earlier one may have run it. */
-    val repeatable: Boolean get() = if (streaming) resumable else idempotent
+    val retryable: Boolean get() = if (streaming) resumable else idempotent
 }
 
 /** Prices a model that an engine can run; the price is for a thousand generated tokens. */
@@ -93,12 +93,12 @@
  * Describes an organisation.
  *
  * @property keys the bearer keys that its callers present
- * @property rank urgency of its requests, in place of their route's; null leaves the route's
+ * @property priority urgency of its requests, in place of their route's; null leaves the route's
  */
 public data class CatalogOrganisation(
     val name: OrganisationName,
     val keys: Set<String>,
-    val rank: Int?,
+    val priority: Int?,
 )
 
 /** Bounds what a caller may send and how long it may take. */
@@ -110,18 +110,18 @@
 )
 
 /** Says why a request matches nothing, or what it matches. */
-public sealed interface Match {
+public sealed interface RouteMatch {
     /** Tells that no route takes the host and path. */
-    public data object NoRoute : Match
+    public data object NoRoute : RouteMatch
 
     /** Tells that the route needs a key that some organisation holds. */
-    public data object UnknownKey : Match
+    public data object UnknownKey : RouteMatch
 
     /** Names the route, and the organisation unless the route is public and the request had no known key. */
     public data class Found(
         val route: CatalogRoute,
         val organisation: CatalogOrganisation?,
-    ) : Match
+    ) : RouteMatch
 }
 
 /**
@@ -148,11 +148,11 @@
         host: String,
         path: String,
         key: String?,
-    ): Match {
-        val route = routeOf(host, path) ?: return Match.NoRoute
+    ): RouteMatch {
+        val route = routeOf(host, path) ?: return RouteMatch.NoRoute
         val organisation = key?.let(organisationsByKey::get)
-        if (organisation == null && keysRequired && !route.public) return Match.UnknownKey
-        return Match.Found(route, organisation)
+        if (organisation == null && keysRequired && !route.public) return RouteMatch.UnknownKey
+        return RouteMatch.Found(route, organisation)
     }
 
     /** Tries the prefixes of [path] from the longest on. */
--- a/fleet/src/main/kotlin/io/carawaytrack/fleet/FleetState.kt
+++ b/fleet/src/main/kotlin/io/carawaytrack/fleet/FleetState.kt
@@ -24,17 +24,17 @@
 /**
  * Describes the move of a pool's requests to the version [target].
  *
- * @property order log index of the order; a later order for the pool has a higher one
+ * @property id log index of the order; a later order for the pool has a higher one
  * @property durationMillis time within which it is to be decided
- * @property orderedAtMillis moment of the order on the leading host's clock; only for display and after a restart
+ * @property beganAtMillis moment of the order on the leading host's clock; only for display and after a restart
  */
 @Serializable
 public data class FleetRollout(
     val pool: PoolName,
     val target: String,
-    val order: Long,
+    @SerialName("order") val id: Long,
     val durationMillis: Long,
-    val orderedAtMillis: Long,
+    @SerialName("orderedAtMillis") val beganAtMillis: Long,
     val phase: FleetRolloutPhase,
 )
 
@@ -59,12 +59,12 @@
         val atMillis: Long,
     ) : FleetCommand
 
-    /** Ends the roll-out that was ordered at [order] unless it has ended. */
+    /** Ends the roll-out that was ordered at [rolloutId] unless it has ended. */
     @Serializable
     @SerialName("e")
     public data class End(
         val pool: PoolName,
-        val order: Long,
+        @SerialName("order") val rolloutId: Long,
         val phase: FleetRolloutPhase,
     ) : FleetCommand
 
@@ -148,9 +148,9 @@
         FleetRollout(
             pool = command.pool,
             target = command.target,
-            order = index,
+            id = index,
             durationMillis = command.durationMillis,
-            orderedAtMillis = command.atMillis,
+            beganAtMillis = command.atMillis,
             phase = FleetRolloutPhase.Running,
         )
     return with(index, rollouts = rollouts.filter { it.pool != command.pool } + begun)
@@ -160,7 +160,7 @@
     index: Long,
     command: FleetCommand.End,
 ): FleetView? {
-    val running = rolloutOf(command.pool)?.takeIf { it.order == command.order } ?: return null
+    val running = rolloutOf(command.pool)?.takeIf { it.id == command.rolloutId } ?: return null
     if (running.phase != FleetRolloutPhase.Running) return null
     return with(index, rollouts = rollouts - running + running.copy(phase = command.phase))
 }
--- a/fleet/src/main/kotlin/io/carawaytrack/fleet/RolloutPolicy.kt
+++ b/fleet/src/main/kotlin/io/carawaytrack/fleet/RolloutPolicy.kt
@@ -5,6 +5,7 @@
  */
 package io.carawaytrack.fleet
 
+import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
 /**
@@ -83,7 +84,7 @@
 /** Holds the tallies of both versions of a roll-out. */
 @Serializable
 public data class RolloutTally(
-    val order: Long,
+    @SerialName("order") val rolloutId: Long,
     val old: List<RouteTally> = emptyList(),
     val new: List<RouteTally> = emptyList(),
 ) {
@@ -96,7 +97,7 @@
     groupBy { it.route }.values.map { tallies -> tallies.reduce(RouteTally::plus) }
 
 /** Returns the share of new sessions, 0 to 1, that the new version gets [elapsedMillis] after the order. */
-public fun FleetRollout.shareAt(
+public fun FleetRollout.newVersionShareAt(
     elapsedMillis: Long,
     bounds: RolloutBounds,
 ): Double = when (phase) {
@@ -111,7 +112,7 @@
 }
 
 /** Returns the phase that the roll-out is to move to now, given all that was seen, or null while it goes on. */
-public fun FleetRollout.verdict(
+public fun FleetRollout.nextPhase(
     tally: RolloutTally,
     elapsedMillis: Long,
     newVersionReady: Boolean,
--- a/fleet/src/main/kotlin/io/carawaytrack/fleet/UpstreamRegistry.kt
+++ b/fleet/src/main/kotlin/io/carawaytrack/fleet/UpstreamRegistry.kt
@@ -9,10 +9,11 @@
 import io.carawaytrack.model.PoolName
 import io.carawaytrack.model.UpstreamId
 import io.carawaytrack.model.ZoneName
+import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
 /** Silence after which an upstream is forgotten, in milliseconds: over ten announcements at the platform's rate. */
-public const val FORGOTTEN_AFTER_MILLIS: Long = 30_000
+public const val UPSTREAM_EXPIRY_MILLIS: Long = 30_000
 
 /** Departures kept, so that an announcement which was overtaken on its way revives nobody. */
 private const val KEPT_DEPARTURES = 1_024
@@ -22,7 +23,7 @@
  *
  * @property version version of the software that it runs
  * @property slots requests that it works on at once
- * @property leaving whether it will stop soon and takes no new work
+ * @property draining whether it will stop soon and takes no new work
  * @property coldMillis time for which it stays cold, counted from the announcement
  * @property sequence rises with each announcement of one start
  * @property startedAtMillis moment of its start on its own clock; tells two starts under one identifier apart
@@ -35,7 +36,7 @@
     val zone: ZoneName,
     val version: String,
     val slots: Int,
-    val leaving: Boolean,
+    @SerialName("leaving") val draining: Boolean,
     val coldMillis: Long,
     val sequence: Long,
     val startedAtMillis: Long,
@@ -47,7 +48,7 @@
 
 /** Tells that the start [startedAtMillis] of an upstream has signed off; null stands for any start. */
 @Serializable
-public data class Departure(
+public data class Deregistration(
     val id: UpstreamId,
     val startedAtMillis: Long?,
 )
@@ -55,20 +56,20 @@
 /**
  * Holds an upstream's newest announcement.
  *
- * @property heardAtMillis when it was made, on this host's clock
+ * @property announcedAtMillis when it was made, on this host's clock
  */
 public data class KnownUpstream(
     val upstream: FleetUpstream,
-    val heardAtMillis: Long,
+    val announcedAtMillis: Long,
 ) {
     /** Returns the moment until which the upstream is cold. */
-    public val coldUntilMillis: Long get() = heardAtMillis + upstream.coldMillis
+    public val coldUntilMillis: Long get() = announcedAtMillis + upstream.coldMillis
 }
 
 /** Says what an announcement changed. */
-public enum class RegistryNews {
+public enum class RegistryUpdate {
     /** Nothing: an older or repeated announcement. */
-    Nothing,
+    Ignored,
 
     /** Only the time at which the upstream was last heard. */
     Refreshed,
@@ -86,16 +87,16 @@
     public fun find(id: UpstreamId): KnownUpstream?
 
     /** Takes in [announced], made [ageMillis] ago. */
-    public fun hear(
+    public fun record(
         announced: FleetUpstream,
         ageMillis: Long = 0,
-    ): RegistryNews
+    ): RegistryUpdate
 
     /** Takes in that an upstream has signed off; returns whether that was news. */
-    public fun leave(departure: Departure): Boolean
+    public fun deregister(departure: Deregistration): Boolean
 
-    /** Drops upstreams that have been silent for [FORGOTTEN_AFTER_MILLIS] and returns them. */
-    public fun forgetSilent(): List<KnownUpstream>
+    /** Drops upstreams that have been silent for [UPSTREAM_EXPIRY_MILLIS] and returns them. */
+    public fun evictExpired(): List<KnownUpstream>
 }
 
 /** Creates an empty registry. */
@@ -112,22 +113,22 @@
 
     override fun find(id: UpstreamId): KnownUpstream? = known[id]
 
-    override fun hear(
+    override fun record(
         announced: FleetUpstream,
         ageMillis: Long,
-    ): RegistryNews {
-        if (hasLeft(announced) || isOvertaken(announced)) return RegistryNews.Nothing
+    ): RegistryUpdate {
+        if (hasLeft(announced) || isOvertaken(announced)) return RegistryUpdate.Ignored
         val before = known[announced.id]
-        if (before != null && !announced.isNewerThan(before.upstream)) return RegistryNews.Nothing
+        if (before != null && !announced.isNewerThan(before.upstream)) return RegistryUpdate.Ignored
         take(announced, ageMillis)
         return if (before != null && before.upstream.decidesLike(announced)) {
-            RegistryNews.Refreshed
+            RegistryUpdate.Refreshed
         } else {
-            RegistryNews.Changed
+            RegistryUpdate.Changed
         }
     }
 
-    override fun leave(departure: Departure): Boolean {
+    override fun deregister(departure: Deregistration): Boolean {
         val present = known[departure.id]
         val startedAtMillis = departure.startedAtMillis ?: present?.upstream?.startedAtMillis ?: return false
         if (startedAtMillis <= (departed[departure.id] ?: Long.MIN_VALUE)) return false
@@ -138,9 +139,9 @@
         return true
     }
 
-    override fun forgetSilent(): List<KnownUpstream> {
-        val oldestMillis = nowMillis() - FORGOTTEN_AFTER_MILLIS
-        val silent = known.values.filter { it.heardAtMillis < oldestMillis }
+    override fun evictExpired(): List<KnownUpstream> {
+        val oldestMillis = nowMillis() - UPSTREAM_EXPIRY_MILLIS
+        val silent = known.values.filter { it.announcedAtMillis < oldestMillis }
         silent.forEach { remove(it.upstream) }
         return silent
     }
--- a/fleet/src/test/kotlin/io/carawaytrack/fleet/CatalogTest.kt
+++ b/fleet/src/test/kotlin/io/carawaytrack/fleet/CatalogTest.kt
@@ -25,7 +25,7 @@
         timeoutMillis = 1_000,
         latencyTargetMillis = 100,
         pauseTargetMillis = 100,
-        rank = 0,
+        priority = 0,
         models = emptyList(),
         shares = listOf(PoolShare(PoolName("pool"), 1)),
         maxAttempts = 1,
@@ -38,7 +38,7 @@
             version = 1,
             routes = listOf(route("outer", "/a/"), route("inner", "/a/b/"), route("open", "/open/", public = true)),
             pools = emptyMap(),
-            organisations = listOf(CatalogOrganisation(OrganisationName("stalls"), setOf("k1"), rank = null)),
+            organisations = listOf(CatalogOrganisation(OrganisationName("stalls"), setOf("k1"), priority = null)),
             keysRequired = true,
             limits = CallerLimits(),
         )
@@ -64,9 +64,9 @@
     ) {
         val found =
             when (val match = catalog.match(host, path, key)) {
-                Match.NoRoute -> "no route"
-                Match.UnknownKey -> "unknown key"
-                is Match.Found -> match.route.name
+                RouteMatch.NoRoute -> "no route"
+                RouteMatch.UnknownKey -> "unknown key"
+                is RouteMatch.Found -> match.route.name
             }
         expectThat(found).isEqualTo(expected)
     }
--- a/fleet/src/test/kotlin/io/carawaytrack/fleet/RolloutPolicyTest.kt
+++ b/fleet/src/test/kotlin/io/carawaytrack/fleet/RolloutPolicyTest.kt
@@ -108,7 +108,7 @@
         ),
     ).map { case ->
         dynamicTest(case.name) {
-            expectThat(rollout.verdict(case.tally, case.elapsedMillis, case.ready)).isEqualTo(case.verdict)
+            expectThat(rollout.nextPhase(case.tally, case.elapsedMillis, case.ready)).isEqualTo(case.verdict)
         }
     }
 
@@ -123,13 +123,13 @@
             var current = rollout
             for (millis in 0 until DURATION_MILLIS step 30) {
                 all++
-                val new = random.nextDouble() < current.shareAt(millis, bounds)
+                val new = random.nextDouble() < current.newVersionShareAt(millis, bounds)
                 if (new) exposed++
                 val failed = if (new && random.nextDouble() < 0.4) 1 else 0
                 val seen = RouteTally("r", good = 1 - failed, failed = failed, timeMillis = 100)
                 val added = if (new) RolloutTally(1, new = listOf(seen)) else RolloutTally(1, old = listOf(seen))
                 tally += added
-                current.verdict(tally, millis, newVersionReady = true)?.let { current = current.copy(phase = it) }
+                current.nextPhase(tally, millis, newVersionReady = true)?.let { current = current.copy(phase = it) }
             }
             expectThat(current.phase).isEqualTo(FleetRolloutPhase.RolledBack)
             expectThat(exposed.toDouble()).isLessThanOrEqualTo(all * bounds.exposureShare + bounds.exposureSlack)
@@ -145,10 +145,10 @@
             val started = ArrayList<Triple<Long, Long, Boolean>>()
             var judgedAtMillis = Long.MAX_VALUE
             for (millis in 0L until 12_000 step 30) {
-                val new = random.nextDouble() < short.shareAt(millis, RolloutBounds())
+                val new = random.nextDouble() < short.newVersionShareAt(millis, RolloutBounds())
                 val tookMillis = 500 + random.nextLong(2_000)
                 started += Triple(millis, if (new) tookMillis * 8 else tookMillis, new)
-                val phase = short.verdict(seenAt(millis, started), millis, newVersionReady = true)
+                val phase = short.nextPhase(seenAt(millis, started), millis, newVersionReady = true)
                 if (phase != null) judgedAtMillis = minOf(judgedAtMillis, millis)
                 if (phase != null) expectThat(phase).isEqualTo(FleetRolloutPhase.RolledBack)
                 if (phase != null) break
--- a/fleet/src/test/kotlin/io/carawaytrack/fleet/UpstreamRegistryTest.kt
+++ b/fleet/src/test/kotlin/io/carawaytrack/fleet/UpstreamRegistryTest.kt
@@ -27,7 +27,7 @@
         port: Int = 80,
         startedAtMillis: Long = 10,
         sequence: Long = 1,
-        leaving: Boolean = false,
+        draining: Boolean = false,
         coldMillis: Long = 0,
     ) = FleetUpstream(
         id = UpstreamId(id),
@@ -36,7 +36,7 @@
         zone = ZoneName("a"),
         version = "v1",
         slots = 4,
-        leaving = leaving,
+        draining = draining,
         coldMillis = coldMillis,
         sequence = sequence,
         startedAtMillis = startedAtMillis,
@@ -45,63 +45,71 @@
     private class Case(
         val name: String,
         val announced: FleetUpstream,
-        val news: RegistryNews,
+        val news: RegistryUpdate,
     )
 
     @TestFactory
     fun `an announcement counts when it is newer than what is known`(): List<DynamicTest> = listOf(
-        Case("a repeated one is no news", upstream("u", sequence = 5), RegistryNews.Nothing),
-        Case("an older one is no news", upstream("u", sequence = 4), RegistryNews.Nothing),
-        Case("a newer one that says the same refreshes", upstream("u", sequence = 6), RegistryNews.Refreshed),
-        Case("a newer one that is leaving changes", upstream("u", sequence = 6, leaving = true), RegistryNews.Changed),
-        Case("one that has become cold changes", upstream("u", sequence = 6, coldMillis = 9), RegistryNews.Changed),
-        Case("a later start changes", upstream("u", startedAtMillis = 11, sequence = 1), RegistryNews.Changed),
-        Case("an earlier start is no news", upstream("u", startedAtMillis = 9, sequence = 99), RegistryNews.Nothing),
-        Case("an earlier holder is no news", upstream("old", startedAtMillis = 9, sequence = 9), RegistryNews.Nothing),
-        Case("a later holder changes", upstream("new", startedAtMillis = 12), RegistryNews.Changed),
+        Case("a repeated one is no news", upstream("u", sequence = 5), RegistryUpdate.Ignored),
+        Case("an older one is no news", upstream("u", sequence = 4), RegistryUpdate.Ignored),
+        Case("a newer one that says the same refreshes", upstream("u", sequence = 6), RegistryUpdate.Refreshed),
+        Case(
+            "a newer one that is draining changes",
+            upstream("u", sequence = 6, draining = true),
+            RegistryUpdate.Changed,
+        ),
+        Case("one that has become cold changes", upstream("u", sequence = 6, coldMillis = 9), RegistryUpdate.Changed),
+        Case("a later start changes", upstream("u", startedAtMillis = 11, sequence = 1), RegistryUpdate.Changed),
+        Case("an earlier start is no news", upstream("u", startedAtMillis = 9, sequence = 99), RegistryUpdate.Ignored),
+        Case(
+            "an earlier holder is no news",
+            upstream("old", startedAtMillis = 9, sequence = 9),
+            RegistryUpdate.Ignored,
+        ),
+        Case("a later holder changes", upstream("new", startedAtMillis = 12), RegistryUpdate.Changed),
     ).map { case ->
         dynamicTest(case.name) {
             val fresh = UpstreamRegistry { nowMillis }
-            fresh.hear(upstream("u", sequence = 5))
-            expectThat(fresh.hear(case.announced)).isEqualTo(case.news)
+            fresh.record(upstream("u", sequence = 5))
+            expectThat(fresh.record(case.announced)).isEqualTo(case.news)
         }
     }
 
     @Test
     fun `a later holder of an address replaces the earlier one`() {
-        registry.hear(upstream("old"))
-        registry.hear(upstream("new", startedAtMillis = 20))
+        registry.record(upstream("old"))
+        registry.record(upstream("new", startedAtMillis = 20))
         expectThat(registry.upstreams.map { it.upstream.id.value }).containsExactly("new")
     }
 
     @Test
     fun `an upstream that has signed off isn't revived by a late announcement`() {
-        registry.hear(upstream("u", sequence = 5))
-        expectThat(registry.leave(Departure(UpstreamId("u"), null))).isTrue()
-        expectThat(registry.hear(upstream("u", sequence = 6))).isEqualTo(RegistryNews.Nothing)
+        registry.record(upstream("u", sequence = 5))
+        expectThat(registry.deregister(Deregistration(UpstreamId("u"), null))).isTrue()
+        expectThat(registry.record(upstream("u", sequence = 6))).isEqualTo(RegistryUpdate.Ignored)
         expectThat(registry.upstreams).isEmpty()
-        expectThat(registry.hear(upstream("u", startedAtMillis = 11))).isEqualTo(RegistryNews.Changed)
+        expectThat(registry.record(upstream("u", startedAtMillis = 11))).isEqualTo(RegistryUpdate.Changed)
     }
 
     @Test
     fun `a departure of an earlier start leaves the present one`() {
-        registry.hear(upstream("u", startedAtMillis = 20))
-        registry.leave(Departure(UpstreamId("u"), 10))
+        registry.record(upstream("u", startedAtMillis = 20))
+        registry.deregister(Deregistration(UpstreamId("u"), 10))
         expectThat(registry.upstreams.map { it.upstream.startedAtMillis }).containsExactly(20L)
-        expectThat(registry.leave(Departure(UpstreamId("u"), 10))).isFalse()
+        expectThat(registry.deregister(Deregistration(UpstreamId("u"), 10))).isFalse()
     }
 
     @Test
     fun `an upstream that has been silent for long is forgotten`() {
-        registry.hear(upstream("u"))
-        nowMillis += FORGOTTEN_AFTER_MILLIS + 1
-        expectThat(registry.forgetSilent().map { it.upstream.id.value }).containsExactly("u")
+        registry.record(upstream("u"))
+        nowMillis += UPSTREAM_EXPIRY_MILLIS + 1
+        expectThat(registry.evictExpired().map { it.upstream.id.value }).containsExactly("u")
         expectThat(registry.upstreams).isEmpty()
     }
 
     @Test
     fun `an announcement that was passed on counts from when it was made`() {
-        registry.hear(upstream("u", coldMillis = 3_000), ageMillis = 1_000)
+        registry.record(upstream("u", coldMillis = 3_000), ageMillis = 1_000)
         expectThat(registry.upstreams.single().coldUntilMillis).isEqualTo(nowMillis + 2_000)
     }
 }
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/AnswerRelay.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/AnswerRelay.kt
@@ -22,7 +22,7 @@
     private val caller: CallerConnection,
     private val vocabulary: HeaderVocabulary,
 ) {
-    private val scanner = if (request.route.repeatable) EventScanner(request.lastEventId()) else null
+    private val scanner = if (request.route.retryable) EventScanner(request.lastEventId()) else null
     private var held: CompositeByteBuf? = null
 
     /** Whether the caller has received the head of an answer. */
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/CallerRequest.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/CallerRequest.kt
@@ -6,7 +6,7 @@
 import io.carawaytrack.fleet.CatalogOrganisation
 import io.carawaytrack.fleet.CatalogRoute
 import io.carawaytrack.fleet.FleetUpstream
-import io.carawaytrack.fleet.Match
+import io.carawaytrack.fleet.RouteMatch
 import io.netty.buffer.ByteBuf
 import io.netty.handler.codec.http.DefaultFullHttpRequest
 import io.netty.handler.codec.http.DefaultHttpHeadersFactory
@@ -59,7 +59,7 @@
     val demand: PromptDemand,
     val session: String,
 ) {
-    val rank: Int = organisation?.rank ?: route.rank
+    val rank: Int = organisation?.priority ?: route.priority
 
     /** Whether the gateway is to choose the model. */
     val anyModel: Boolean get() = route.models.isNotEmpty()
@@ -75,7 +75,7 @@
 internal fun readRequest(
     head: HttpRequest,
     body: ByteBuf,
-    match: Match.Found,
+    match: RouteMatch.Found,
     vocabulary: HeaderVocabulary,
     nowMillis: Long,
 ): CallerRequest {
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Dispatch.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Dispatch.kt
@@ -132,7 +132,7 @@
         exchange: Exchange,
         target: UpstreamState,
         attempt: Attempt,
-    ) = connections.send(target.upstream.address, attempt, unrepeatable = !exchange.request.route.repeatable)
+    ) = connections.send(target.upstream.address, attempt, unrepeatable = !exchange.request.route.retryable)
 
     override fun observed(
         exchange: Exchange,
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Exchange.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Exchange.kt
@@ -140,7 +140,7 @@
 
     private fun isStalled(now: Long): Boolean {
         val upstream = target ?: return false
-        if (!route.repeatable || !relay.canGoOn) return false
+        if (!route.retryable || !relay.canGoOn) return false
         val quietMillis = now - maxOf(lastContentMillis, sentAtMillis)
         return when {
             !route.streaming -> quietMillis > route.latencyTargetMillis * REPEAT_AFTER_TARGETS && tries == 1
@@ -292,7 +292,7 @@
     /** Returns whether the request may be sent to another upstream although one may have run it. */
     private fun mayGoOn(): Boolean {
         val inTime = request.endsAtMillis - host.nowMillis() >= LEAST_LEFT_MILLIS
-        val allowed = route.repeatable && relay.canGoOn && runs < route.maxAttempts
+        val allowed = route.retryable && relay.canGoOn && runs < route.maxAttempts
         return allowed && inTime && !callerLeft && host.mayRepeat(this)
     }
 
@@ -313,7 +313,7 @@
     override fun callerGone() {
         if (phase == ExchangePhase.Over) return
         callerLeft = true
-        val letItRun = phase == ExchangePhase.Sent && !route.repeatable && !route.streaming
+        val letItRun = phase == ExchangePhase.Sent && !route.retryable && !route.streaming
         if (!letItRun) abandon()
     }
 
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Gateway.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Gateway.kt
@@ -9,13 +9,13 @@
 import io.carawaytrack.fleet.Catalog
 import io.carawaytrack.fleet.CatalogPool
 import io.carawaytrack.fleet.CatalogRoute
-import io.carawaytrack.fleet.Departure
+import io.carawaytrack.fleet.Deregistration
 import io.carawaytrack.fleet.FleetUpstream
 import io.carawaytrack.fleet.FleetView
 import io.carawaytrack.fleet.KnownUpstream
-import io.carawaytrack.fleet.Match
 import io.carawaytrack.fleet.RolloutBounds
 import io.carawaytrack.fleet.RolloutTally
+import io.carawaytrack.fleet.RouteMatch
 import io.carawaytrack.limits.RetrySettings
 import io.carawaytrack.model.ErrorKind
 import io.carawaytrack.model.Execution
@@ -96,7 +96,7 @@
     public fun changed(known: KnownUpstream)
 
     /** Takes in that an upstream has signed off. */
-    public fun gone(departure: Departure)
+    public fun gone(departure: Deregistration)
 
     /** Takes in that [hosts] hosts share what upstreams bear. */
     public fun sharedBy(hosts: Int)
@@ -177,7 +177,7 @@
         dispatch.offerWaiting()
     }
 
-    override fun gone(departure: Departure) {
+    override fun gone(departure: Deregistration) {
         if (upstreams.gone(departure)) logEvent("upstream_gone", mapOf("upstream" to departure.id.value))
     }
 
@@ -215,9 +215,9 @@
                 ?.lowercase()
                 .orEmpty()
         when (val match = inForce.match(host, path, bearerKey(request.headers()))) {
-            Match.NoRoute -> refuse(request, body, caller, ErrorKind.UnknownRoute)
-            Match.UnknownKey -> refuse(request, body, caller, ErrorKind.UnknownKey)
-            is Match.Found -> {
+            RouteMatch.NoRoute -> refuse(request, body, caller, ErrorKind.UnknownRoute)
+            RouteMatch.UnknownKey -> refuse(request, body, caller, ErrorKind.UnknownKey)
+            is RouteMatch.Found -> {
                 val read = readRequest(request, body, match, vocabulary, nowMillis())
                 dispatch.begin(read, poolOf(match.route, read.id, inForce), caller, draining)
             }
@@ -282,7 +282,7 @@
     "pool" to upstream.pool.value,
     "upstreamZone" to upstream.zone.value,
     "version" to upstream.version,
-    "leaving" to upstream.leaving,
+    "leaving" to upstream.draining,
     "coldMillis" to upstream.coldMillis,
     "sequence" to upstream.sequence,
 )
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/RolloutWatch.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/RolloutWatch.kt
@@ -8,7 +8,7 @@
 import io.carawaytrack.fleet.RolloutBounds
 import io.carawaytrack.fleet.RolloutTally
 import io.carawaytrack.fleet.RouteTally
-import io.carawaytrack.fleet.shareAt
+import io.carawaytrack.fleet.newVersionShareAt
 
 /** An attempt that has not ended: on which route and version, and for how long. */
 internal class OpenAttempt(
@@ -40,7 +40,7 @@
 
     /** Forgets roll-outs that are over and begins to watch new ones. */
     fun update(rollouts: List<FleetRollout>) {
-        val running = rollouts.filter { it.phase == FleetRolloutPhase.Running }.map { it.order }
+        val running = rollouts.filter { it.phase == FleetRolloutPhase.Running }.map { it.id }
         watched.keys.retainAll(running.toSet())
         running.forEach { watched.getOrPut(it) { Watched(nowMillis()) } }
     }
@@ -50,8 +50,8 @@
         rollout: FleetRollout,
         session: String,
     ): Boolean {
-        val sinceMillis = watched[rollout.order]?.sinceMillis ?: return false
-        return unitHash(session) < rollout.shareAt(nowMillis() - sinceMillis, bounds)
+        val sinceMillis = watched[rollout.id]?.sinceMillis ?: return false
+        return unitHash(session) < rollout.newVersionShareAt(nowMillis() - sinceMillis, bounds)
     }
 
     /** Counts an answer or a failure of [version]. */
@@ -62,20 +62,20 @@
         good: Boolean,
         tookMillis: Long,
     ) {
-        val tallies = watched[rollout.order]?.of(onNew = version == rollout.target) ?: return
+        val tallies = watched[rollout.id]?.of(onNew = version == rollout.target) ?: return
         val seen = if (good) RouteTally(route, good = 1, timeMillis = tookMillis) else RouteTally(route, failed = 1)
         tallies.merge(route, seen, RouteTally::plus)
     }
 
     /** Counts an attempt that was left without an answer; one that was left early says nothing. */
     fun left(attempt: OpenAttempt) {
-        val seen = watched[attempt.rollout.order]?.takeIf { it.isLate(attempt) } ?: return
+        val seen = watched[attempt.rollout.id]?.takeIf { it.isLate(attempt) } ?: return
         seen.of(attempt.onNew).merge(attempt.route, unfinished(attempt), RouteTally::plus)
     }
 
     /** Returns what has been seen of each running roll-out, with those of [open] that take longer than usual. */
     fun tallies(open: List<OpenAttempt>): List<RolloutTally> = watched.map { (order, seen) ->
-        val late = open.filter { it.rollout.order == order && seen.isLate(it) }
+        val late = open.filter { it.rollout.id == order && seen.isLate(it) }
         val (onNew, onOld) = late.partition { it.onNew }
         RolloutTally(order) +
             RolloutTally(order, seen.old.values + onOld.map(::unfinished), seen.new.values + onNew.map(::unfinished))
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamDirectory.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamDirectory.kt
@@ -5,7 +5,7 @@
 package io.carawaytrack.gateway
 
 import io.carawaytrack.fleet.CatalogPool
-import io.carawaytrack.fleet.Departure
+import io.carawaytrack.fleet.Deregistration
 import io.carawaytrack.fleet.FleetRollout
 import io.carawaytrack.fleet.FleetRolloutPhase
 import io.carawaytrack.fleet.FleetView
@@ -74,7 +74,7 @@
     }
 
     /** Returns whether the departure was of an upstream that was known here. */
-    fun gone(departure: Departure): Boolean {
+    fun gone(departure: Deregistration): Boolean {
         val state = states[departure.id] ?: return false
         val startedAtMillis = departure.startedAtMillis
         if (startedAtMillis != null && state.upstream.startedAtMillis > startedAtMillis) return false
@@ -91,14 +91,14 @@
 
     /** Takes in when each upstream was heard last. */
     fun refresh(heard: Collection<KnownUpstream>) = heard.forEach { known ->
-        states[known.upstream.id]?.takeIf { it.heardAtMillis < known.heardAtMillis }?.announced(known)
+        states[known.upstream.id]?.takeIf { it.heardAtMillis < known.announcedAtMillis }?.announced(known)
     }
 
     fun serves(
         pool: PoolName,
         version: String,
     ): Boolean = states.values.any {
-        it.upstream.pool == pool && it.upstream.version == version && !it.upstream.leaving && !it.isPaused
+        it.upstream.pool == pool && it.upstream.version == version && !it.upstream.draining && !it.isPaused
     }
 
     /** Returns whether no upstream may take the request, now or as soon as it has room. */
@@ -189,5 +189,5 @@
     }
 
     private fun isInService(state: UpstreamState) =
-        !state.gone && !state.upstream.leaving && state.upstream.zone !in view.zonesOut
+        !state.gone && !state.upstream.draining && state.upstream.zone !in view.zonesOut
 }
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamState.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamState.kt
@@ -50,7 +50,7 @@
 ) {
     var upstream: FleetUpstream = known.upstream
         private set
-    var heardAtMillis = known.heardAtMillis
+    var heardAtMillis = known.announcedAtMillis
         private set
     private var announcedColdUntilMillis = known.coldUntilMillis
     private var doubtedColdUntilMillis = 0L
@@ -95,7 +95,7 @@
 
     fun announced(known: KnownUpstream) {
         upstream = known.upstream
-        heardAtMillis = known.heardAtMillis
+        heardAtMillis = known.announcedAtMillis
         announcedColdUntilMillis = known.coldUntilMillis
         doubtedColdUntilMillis = 0
     }
--- a/gateway/src/test/kotlin/io/carawaytrack/gateway/ModelPolicyTest.kt
+++ b/gateway/src/test/kotlin/io/carawaytrack/gateway/ModelPolicyTest.kt
@@ -33,7 +33,7 @@
             timeoutMillis = 20_000,
             latencyTargetMillis = 2_000,
             pauseTargetMillis = 1_000,
-            rank = 0,
+            priority = 0,
             models = listOf("small", "middle", "large"),
             shares = listOf(PoolShare(PoolName("llm"), 1)),
             maxAttempts = 3,
--- a/gateway/src/test/kotlin/io/carawaytrack/gateway/UpstreamStateTest.kt
+++ b/gateway/src/test/kotlin/io/carawaytrack/gateway/UpstreamStateTest.kt
@@ -29,7 +29,7 @@
             zone = ZoneName("a"),
             version = "v1",
             slots = 64,
-            leaving = false,
+            draining = false,
             coldMillis = 0,
             sequence = 1,
             startedAtMillis = 1,
--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/Links.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/Links.kt
@@ -45,7 +45,7 @@
     val dialled: HostPort?,
     var heardAtMillis: Long,
 ) {
-    var peer: PeerCard? = null
+    var peer: PeerInfo? = null
     var pulse: MeshMessage.Pulse? = null
     val isOpen: Boolean get() = channel.isActive
 
--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/Mesh.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/Mesh.kt
@@ -9,7 +9,7 @@
 import com.github.michaelbull.result.Err
 import com.github.michaelbull.result.Result
 import com.github.michaelbull.result.map
-import io.carawaytrack.fleet.Departure
+import io.carawaytrack.fleet.Deregistration
 import io.carawaytrack.fleet.FleetCommand
 import io.carawaytrack.fleet.FleetUpstream
 import io.carawaytrack.fleet.FleetView
@@ -51,7 +51,7 @@
  * @property requiredVoters members of the core without which no change is accepted
  */
 public data class MeshSettings(
-    val self: PeerCard,
+    val self: PeerInfo,
     val seeds: List<HostPort>,
     val folder: Path?,
     val bootstrap: Boolean,
@@ -63,12 +63,12 @@
  *
  * @property viewChanged a newer agreed state is known
  * @property upstreamChanged something that decides where requests go was announced
- * @property upstreamGone an upstream has signed off or was forgotten
+ * @property upstreamRemoved an upstream has signed off or was forgotten
  */
 public class MeshEvents(
     public val viewChanged: (FleetView) -> Unit,
     public val upstreamChanged: (KnownUpstream) -> Unit,
-    public val upstreamGone: (Departure) -> Unit,
+    public val upstreamRemoved: (Deregistration) -> Unit,
 )
 
 /** Joins this host to its fleet; to be used on the event loop only. */
@@ -80,7 +80,7 @@
     public val upstreams: UpstreamRegistry
 
     /** Hosts that serve requests, as far as known; at least 1. */
-    public val hosts: Int
+    public val hostCount: Int
 
     /** Mesh address of the leading host, or null while none is known. */
     public val leader: HostPort?
@@ -92,7 +92,7 @@
     public fun announce(upstream: FleetUpstream)
 
     /** Takes in that an upstream signs off and passes it on. */
-    public fun depart(departure: Departure)
+    public fun deregister(departure: Deregistration)
 
     /**
      * Commits [command]; [done] is called on the event loop. Fails with `NotLeader` on a host that doesn't lead, and as
@@ -104,19 +104,19 @@
     )
 
     /** Confirms that this host leads and that [view] holds all that was committed; fails like [propose]. */
-    public fun confirm(done: (Result<Unit, Failure>) -> Unit)
+    public fun confirmLeadership(done: (Result<Unit, Failure>) -> Unit)
 
     /** Tells the leader what this host has seen of roll-outs since each one's order. */
     public fun report(tallies: List<RolloutTally>)
 
-    /** Returns the sum of what all hosts have told this one of the roll-out ordered at [order]. */
-    public fun tallyOf(order: Long): RolloutTally
+    /** Returns the sum of what all hosts have told this one of the roll-out [rolloutId]. */
+    public fun tallyOf(rolloutId: Long): RolloutTally
 
     /** Sends what is due and looks after links and members; to be called about every [MESH_TICK_MILLIS]. */
     public fun tick()
 
     /** Uses other seeds from now on. */
-    public fun reseed(seeds: List<HostPort>)
+    public fun updateSeeds(seeds: List<HostPort>)
 }
 
 /** Starts this host's part of the mesh on the one event loop of [group]. */
@@ -153,7 +153,7 @@
     override var view: FleetView = FleetView()
         private set
 
-    override val hosts: Int
+    override val hostCount: Int
         get() {
             val linked = open.mapNotNull { it.peer?.address }.toSet().size + 1
             return maxOf(linked, open.maxOfOrNull { it.pulse?.hosts ?: 1 } ?: 1)
@@ -200,7 +200,7 @@
 
     override fun announce(upstream: FleetUpstream) = spread.announce(upstream)
 
-    override fun depart(departure: Departure) = spread.depart(departure)
+    override fun deregister(departure: Deregistration) = spread.deregister(departure)
 
     override fun propose(
         command: FleetCommand,
@@ -210,7 +210,7 @@
         member.propose(command.encode()) { result -> loop.execute { done(result.toUnit()) } }
     }
 
-    override fun confirm(done: (Result<Unit, Failure>) -> Unit) {
+    override fun confirmLeadership(done: (Result<Unit, Failure>) -> Unit) {
         val member = core ?: return done(Err(noCopy))
         member.confirm { result -> loop.execute { done(result) } }
     }
@@ -220,12 +220,12 @@
         if (!leading) leader?.let(::linkTo)?.send(MeshMessage.Tallies(tallies))
     }
 
-    override fun tallyOf(order: Long): RolloutTally = tallies.values
+    override fun tallyOf(rolloutId: Long): RolloutTally = tallies.values
         .flatten()
-        .filter { it.order == order }
-        .fold(RolloutTally(order), RolloutTally::plus)
+        .filter { it.rolloutId == rolloutId }
+        .fold(RolloutTally(rolloutId), RolloutTally::plus)
 
-    override fun reseed(seeds: List<HostPort>) = peers.reseed(seeds)
+    override fun updateSeeds(seeds: List<HostPort>) = peers.updateSeeds(seeds)
 
     override fun tick() {
         val now = nowMillis()
@@ -252,7 +252,7 @@
     private fun currentPulse(): MeshMessage.Pulse {
         val status = core?.status
         val lowest = if (view.index == 0L) peers.lowestCore() else null
-        return MeshMessage.Pulse(view.index, status?.leader, status?.term ?: 0, hosts, lowest)
+        return MeshMessage.Pulse(view.index, status?.leader, status?.term ?: 0, hostCount, lowest)
     }
 
     private fun opened(link: MeshLink) {
@@ -300,7 +300,7 @@
         link.send(currentPulse())
     }
 
-    private fun learn(cores: List<PeerCard>) {
+    private fun learn(cores: List<PeerInfo>) {
         val news = peers.learn(cores)
         if (news.isNotEmpty()) MeshMessage.Cores(news).encode().let { encoded -> open.forEach { it.send(encoded) } }
     }
@@ -346,4 +346,4 @@
 
 private fun Result<ByteArray, Failure>.toUnit(): Result<Unit, Failure> = map { }
 
-private fun fieldsOf(peer: PeerCard): Map<String, Any?> = mapOf("peer" to peer.address.toString(), "core" to peer.core)
+private fun fieldsOf(peer: PeerInfo): Map<String, Any?> = mapOf("peer" to peer.address.toString(), "core" to peer.core)
--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/MeshMessage.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/MeshMessage.kt
@@ -7,7 +7,7 @@
 package io.carawaytrack.mesh
 
 import io.carawaytrack.consensus.orNullIfForeign
-import io.carawaytrack.fleet.Departure
+import io.carawaytrack.fleet.Deregistration
 import io.carawaytrack.fleet.FleetUpstream
 import io.carawaytrack.fleet.FleetView
 import io.carawaytrack.fleet.RolloutTally
@@ -29,7 +29,7 @@
  * @property core whether it has a disk and so keeps a copy of the agreed state
  */
 @Serializable
-public data class PeerCard(
+public data class PeerInfo(
     val address: HostPort,
     val zone: ZoneName,
     val core: Boolean,
@@ -48,8 +48,8 @@
     @Serializable
     @SerialName("h")
     class Hello(
-        val self: PeerCard,
-        val cores: List<PeerCard>,
+        val self: PeerInfo,
+        val cores: List<PeerInfo>,
     ) : MeshMessage
 
     /**
@@ -74,7 +74,7 @@
     @Serializable
     @SerialName("c")
     class Cores(
-        val cores: List<PeerCard>,
+        val cores: List<PeerInfo>,
     ) : MeshMessage
 
     /** Passes announcements and departures on; the receiver passes them on in turn when [relay] is set. */
@@ -82,7 +82,7 @@
     @SerialName("u")
     class Upstreams(
         val upstreams: List<RelayedUpstream>,
-        val departures: List<Departure> = emptyList(),
+        val departures: List<Deregistration> = emptyList(),
         val relay: Boolean = false,
     ) : MeshMessage
 
--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/Peers.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/Peers.kt
@@ -12,35 +12,35 @@
 private const val GIVEN_UP_MILLIS = 60_000L
 
 internal class Peers(
-    private val self: PeerCard,
+    private val self: PeerInfo,
     private var seeds: List<HostPort>,
     private val nowMillis: () -> Long,
 ) {
-    private val cores = LinkedHashMap<HostPort, PeerCard>()
+    private val cores = LinkedHashMap<HostPort, PeerInfo>()
     private val metAtMillis = HashMap<HostPort, Long>()
     private val dialledAtMillis = HashMap<HostPort, Long>()
-    private val cards = HashMap<HostPort, PeerCard>()
+    private val cards = HashMap<HostPort, PeerInfo>()
 
     init {
         if (self.core) cores[self.address] = self
         cards[self.address] = self
     }
 
-    fun cores(): List<PeerCard> = cores.values.toList()
+    fun cores(): List<PeerInfo> = cores.values.toList()
 
     fun lowestCore(): HostPort? = cores.keys.minByOrNull { it.toString() }
 
-    fun reseed(newSeeds: List<HostPort>) {
+    fun updateSeeds(newSeeds: List<HostPort>) {
         seeds = newSeeds
     }
 
-    fun met(card: PeerCard) {
+    fun met(card: PeerInfo) {
         metAtMillis[card.address] = nowMillis()
         cards[card.address] = card
     }
 
     /** Adds hosts with a disk and returns those that were new. */
-    fun learn(told: List<PeerCard>): List<PeerCard> {
+    fun learn(told: List<PeerInfo>): List<PeerInfo> {
         val news = told.filter { it.core && it.address !in cores }
         news.forEach {
             cores[it.address] = it
@@ -83,7 +83,7 @@
 
     /** A seed that comes after a known one with a disk doesn't matter. */
     private fun firstCoreBeforeUnknown(): HostPort? =
-        seeds.takeWhile { cards[it] != null }.firstNotNullOfOrNull { cards[it]?.takeIf(PeerCard::core) }?.address
+        seeds.takeWhile { cards[it] != null }.firstNotNullOfOrNull { cards[it]?.takeIf(PeerInfo::core) }?.address
 
     private fun nameOf(
         seed: HostPort,
--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/UpstreamSpread.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/UpstreamSpread.kt
@@ -4,10 +4,10 @@
  */
 package io.carawaytrack.mesh
 
-import io.carawaytrack.fleet.Departure
+import io.carawaytrack.fleet.Deregistration
 import io.carawaytrack.fleet.FleetUpstream
 import io.carawaytrack.fleet.KnownUpstream
-import io.carawaytrack.fleet.RegistryNews
+import io.carawaytrack.fleet.RegistryUpdate
 import io.carawaytrack.fleet.UpstreamRegistry
 import io.carawaytrack.model.UpstreamId
 
@@ -32,10 +32,10 @@
     private var lastRefreshMillis = 0L
 
     fun announce(upstream: FleetUpstream) {
-        when (upstreams.hear(upstream)) {
-            RegistryNews.Nothing -> return
-            RegistryNews.Refreshed -> refreshed[upstream.id] = KnownUpstream(upstream, nowMillis())
-            RegistryNews.Changed -> {
+        when (upstreams.record(upstream)) {
+            RegistryUpdate.Ignored -> return
+            RegistryUpdate.Refreshed -> refreshed[upstream.id] = KnownUpstream(upstream, nowMillis())
+            RegistryUpdate.Changed -> {
                 send(MeshMessage.Upstreams(listOf(RelayedUpstream(upstream, 0)), relay = !core), CHANGE_COPIES)
                 tellChanged(upstream)
             }
@@ -46,15 +46,15 @@
     fun recall(upstream: FleetUpstream) {
         // One with the same sequence number may be announced any moment and then is news.
         val before = upstream.copy(sequence = upstream.sequence - 1)
-        if (upstreams.hear(before, RECENT_AGE_MILLIS) == RegistryNews.Changed) tellChanged(before)
+        if (upstreams.record(before, RECENT_AGE_MILLIS) == RegistryUpdate.Changed) tellChanged(before)
     }
 
-    fun depart(departure: Departure) {
+    fun deregister(departure: Deregistration) {
         val known = upstreams.find(departure.id)?.upstream
         val exact = departure.copy(startedAtMillis = departure.startedAtMillis ?: known?.startedAtMillis)
-        if (!upstreams.leave(exact)) return
+        if (!upstreams.deregister(exact)) return
         send(MeshMessage.Upstreams(emptyList(), listOf(exact), relay = !core), CHANGE_COPIES)
-        events.upstreamGone(exact)
+        events.upstreamRemoved(exact)
     }
 
     fun received(
@@ -62,9 +62,9 @@
         message: MeshMessage.Upstreams,
     ) {
         message.upstreams.forEach { (upstream, ageMillis) ->
-            if (upstreams.hear(upstream, ageMillis) == RegistryNews.Changed) tellChanged(upstream)
+            if (upstreams.record(upstream, ageMillis) == RegistryUpdate.Changed) tellChanged(upstream)
         }
-        message.departures.filter(upstreams::leave).forEach(events.upstreamGone)
+        message.departures.filter(upstreams::deregister).forEach(events.upstreamRemoved)
         if (!message.relay || !core) return
         val onward = MeshMessage.Upstreams(message.upstreams, message.departures).encode()
         peerLinks().filter { it.peer?.address != link.peer?.address }.forEach { it.send(onward) }
@@ -78,7 +78,11 @@
 
     /** Passes refreshed announcements on when it is time, and forgets upstreams that have been silent for long. */
     fun tick() {
-        upstreams.forgetSilent().forEach { events.upstreamGone(Departure(it.upstream.id, it.upstream.startedAtMillis)) }
+        upstreams.evictExpired().forEach {
+            events.upstreamRemoved(
+                Deregistration(it.upstream.id, it.upstream.startedAtMillis),
+            )
+        }
         if (nowMillis() - lastRefreshMillis < REFRESH_BATCH_MILLIS) return
         lastRefreshMillis = nowMillis()
         if (refreshed.isEmpty()) return
@@ -86,7 +90,7 @@
         refreshed.clear()
     }
 
-    private fun relayed(known: KnownUpstream) = RelayedUpstream(known.upstream, nowMillis() - known.heardAtMillis)
+    private fun relayed(known: KnownUpstream) = RelayedUpstream(known.upstream, nowMillis() - known.announcedAtMillis)
 
     /** Sends to all peers from a host with a disk, and through [copies] of those from another host. */
     private fun send(
--- a/mesh/src/test/kotlin/io/carawaytrack/mesh/MeshFormationTest.kt
+++ b/mesh/src/test/kotlin/io/carawaytrack/mesh/MeshFormationTest.kt
@@ -4,7 +4,7 @@
 package io.carawaytrack.mesh
 
 import com.github.michaelbull.result.Result
-import io.carawaytrack.fleet.Departure
+import io.carawaytrack.fleet.Deregistration
 import io.carawaytrack.fleet.FleetCommand
 import io.carawaytrack.fleet.FleetUpstream
 import io.carawaytrack.fleet.FleetView
@@ -48,7 +48,7 @@
         val mesh =
             Mesh(
                 MeshSettings(
-                    PeerCard(address, ZoneName("a"), data != null),
+                    PeerInfo(address, ZoneName("a"), data != null),
                     seeds,
                     data,
                     bootstrap,
@@ -58,7 +58,7 @@
                 MeshEvents(
                     viewChanged = { views += it },
                     upstreamChanged = { upstreams += it.upstream.id.value },
-                    upstreamGone = { upstreams += "gone ${it.id}" },
+                    upstreamRemoved = { upstreams += "gone ${it.id}" },
                 ),
             ) { System.nanoTime() / 1_000_000 }
 
@@ -157,7 +157,7 @@
                 zone = ZoneName("a"),
                 version = "v1",
                 slots = 1,
-                leaving = false,
+                draining = false,
                 coldMillis = 0,
                 sequence = 1,
                 startedAtMillis = 1,
@@ -165,7 +165,7 @@
         val outermost = hosts.last()
         outermost.group.next().execute { outermost.mesh.announce(upstream) }
         hosts.forEach { expectThat(it.upstreams.poll(LIMIT_SECONDS, TimeUnit.SECONDS)).isEqualTo("u") }
-        outermost.group.next().execute { outermost.mesh.depart(Departure(upstream.id, null)) }
+        outermost.group.next().execute { outermost.mesh.deregister(Deregistration(upstream.id, null)) }
         hosts.forEach { expectThat(it.upstreams.poll(LIMIT_SECONDS, TimeUnit.SECONDS)).isEqualTo("gone u") }
     }
 
