--- a/fleet/src/main/kotlin/io/carawaytrack/fleet/Catalog.kt
+++ b/fleet/src/main/kotlin/io/carawaytrack/fleet/Catalog.kt
@@ -1,6 +1,6 @@
 /*
- * The two tables as a fleet serves them: routes that say which requests go to which pools, and pools that say what an
- * upstream of theirs bears. A catalog is immutable and is replaced as a whole by one with a higher version.
+ * The routing tables of a fleet: routes map requests to pools, and pools describe the capacity of their upstreams. A
+ * catalog is immutable and is replaced as a whole by one with a higher version.
  */
 package io.carawaytrack.fleet
 
@@ -8,9 +8,9 @@
 import io.carawaytrack.model.PoolName
 
 /**
- * Gives a pool its share of a route's requests.
+ * Assigns a share of a route's requests to a pool.
  *
- * @property weight share relative to the other pools of the route; zero takes no request
+ * @property weight share relative to the other pools of the route; a pool with weight zero receives no requests
  */
 public data class PoolShare(
     val pool: PoolName,
@@ -18,20 +18,20 @@
 )
 
 /**
- * Describes a row of the routes table.
+ * Row of the routes table.
  *
  * @property pathPrefix prefix of the request's path; begins and ends with a slash
- * @property idempotent whether a request may run more than once
- * @property streaming whether an answer is a series of events
- * @property resumable whether a stream may go on at another upstream after an event that the caller has
- * @property timeoutMillis longest time that a request may be kept waiting for its answer
- * @property latencyTargetMillis time within which an answer, or the first event of a stream, is on time
- * @property pauseTargetMillis longest pause between two events of a stream that is still on time
- * @property priority urgency, 0 first
- * @property models models that may answer, the smallest first; empty where the caller names one or none is needed
- * @property maxAttempts upstreams on which one request may run
+ * @property idempotent whether a request may be executed more than once
+ * @property streaming whether the response is a stream of events
+ * @property resumable whether a stream may resume on another upstream after the last event that the caller received
+ * @property timeoutMillis maximum time that a request may wait for its response
+ * @property latencyTargetMillis time within which a response, or the first event of a stream, meets its target
+ * @property pauseTargetMillis longest interval between two events of a stream that meets its target
+ * @property priority scheduling priority; 0 is the highest
+ * @property models models that may serve a request, the smallest first; empty if the caller names one or none is needed
+ * @property maxAttempts maximum number of upstreams on which one request may run
  * @property public whether requests need no key
- * @property sticky whether requests share prompt parts that an upstream may hold
+ * @property sticky whether requests share prompt parts that an upstream may have cached
  */
 public data class CatalogRoute(
     val name: String,
@@ -50,11 +50,11 @@
     val public: Boolean,
     val sticky: Boolean,
 ) {
-    /** Whether a request may be sent to another upstream although an earlier one may have run it. */
+    /** Whether a request may be retried on another upstream although an earlier one may have executed it. */
     val retryable: Boolean get() = if (streaming) resumable else idempotent
 }
 
-/** Prices a model that an engine can run; the price is for a thousand generated tokens. */
+/** Price of a model that an engine can run, for a thousand generated tokens. */
 public data class ModelPrice(
     val model: String,
     val costPerKiloToken: Double,
@@ -63,8 +63,8 @@
 /**
  * Describes the engines of a pool.
  *
- * @property slots requests that an engine works on at once
- * @property memoryTokens tokens that its running requests and cached prompt parts share
+ * @property slots maximum number of concurrent requests of an engine
+ * @property memoryTokens cache capacity in tokens, shared by running requests and cached prompt parts
  */
 public data class EngineTraits(
     val slots: Int,
@@ -73,11 +73,11 @@
 )
 
 /**
- * Describes a row of the pools table.
+ * Row of the pools table.
  *
  * @property maxConnections connections that an upstream accepts from all hosts together
  * @property coldStartMillis time for which an upstream is cold after its start
- * @property coldRequestsPerSecond requests that a cold upstream bears; zero where it bears all
+ * @property coldRequestsPerSecond maximum request rate of a cold upstream; zero means no limit
  * @property engine set for pools of model engines
  */
 public data class CatalogPool(
@@ -92,8 +92,8 @@
 /**
  * Describes an organisation.
  *
- * @property keys the bearer keys that its callers present
- * @property priority urgency of its requests, in place of their route's; null leaves the route's
+ * @property keys bearer keys of its callers
+ * @property priority priority of its requests, which overrides that of the route; null keeps the route's
  */
 public data class CatalogOrganisation(
     val name: OrganisationName,
@@ -101,7 +101,7 @@
     val priority: Int?,
 )
 
-/** Bounds what a caller may send and how long it may take. */
+/** Limits on the size and the duration of a caller's request. */
 public data class CallerLimits(
     val maxHeaderBytes: Int = 16_384,
     val maxBodyBytes: Long = 4_194_304,
@@ -109,15 +109,15 @@
     val idleTimeoutMillis: Long = 15_000,
 )
 
-/** Says why a request matches nothing, or what it matches. */
+/** Result of matching a request against the routes table. */
 public sealed interface RouteMatch {
-    /** Tells that no route takes the host and path. */
+    /** No route matches the host and path. */
     public data object NoRoute : RouteMatch
 
-    /** Tells that the route needs a key that some organisation holds. */
+    /** The route requires a key, and the request has none that belongs to an organisation. */
     public data object UnknownKey : RouteMatch
 
-    /** Names the route, and the organisation unless the route is public and the request had no known key. */
+    /** Matching route; [organisation] is null if no key is required and the request has no known key. */
     public data class Found(
         val route: CatalogRoute,
         val organisation: CatalogOrganisation?,
@@ -125,9 +125,9 @@
 }
 
 /**
- * Holds both tables and finds rows in them.
+ * Holds the routing tables and matches requests against them.
  *
- * @property keysRequired whether routes that aren't public need a key
+ * @property keysRequired whether routes that are not public require a key
  */
 public class Catalog(
     public val version: Long,
@@ -143,28 +143,28 @@
     private val organisationsByKey: Map<String, CatalogOrganisation> =
         organisations.flatMap { organisation -> organisation.keys.map { it to organisation } }.toMap()
 
-    /** Finds the row for a request to [path] of [host] that presents [key]. */
+    /** Returns the match for a request to [path] of [host] with the bearer key [key]. */
     public fun match(
         host: String,
         path: String,
         key: String?,
     ): RouteMatch {
-        val route = routeOf(host, path) ?: return RouteMatch.NoRoute
+        val route = findRoute(host, path) ?: return RouteMatch.NoRoute
         val organisation = key?.let(organisationsByKey::get)
         if (organisation == null && keysRequired && !route.public) return RouteMatch.UnknownKey
         return RouteMatch.Found(route, organisation)
     }
 
-    /** Tries the prefixes of [path] from the longest on. */
-    private fun routeOf(
+    /** Returns the route with the longest prefix of [path]. */
+    private fun findRoute(
         host: String,
         path: String,
     ): CatalogRoute? {
         val rows = routesByHost[host] ?: return null
-        var end = path.lastIndexOf('/')
-        while (end >= 0) {
-            rows[path.substring(0, end + 1)]?.let { return it }
-            end = path.lastIndexOf('/', end - 1)
+        var slashIndex = path.lastIndexOf('/')
+        while (slashIndex >= 0) {
+            rows[path.substring(0, slashIndex + 1)]?.let { return it }
+            slashIndex = path.lastIndexOf('/', slashIndex - 1)
         }
         return null
     }
--- a/fleet/src/main/kotlin/io/carawaytrack/fleet/FleetState.kt
+++ b/fleet/src/main/kotlin/io/carawaytrack/fleet/FleetState.kt
@@ -1,6 +1,7 @@
 /*
- * What the control hosts agree on: the operator's document in force, the roll-outs and the availability zones that are
- * out. Commands go through the replicated log; every host that applies them publishes the same views in the same order.
+ * The replicated state of the fleet: the operator's document in force, the roll-outs, and the availability zones that
+ * are out of service. Commands go through the replicated log; every host that applies them publishes the same views in
+ * the same order.
  */
 @file:OptIn(ExperimentalSerializationApi::class)
 
@@ -17,16 +18,16 @@
 import kotlinx.serialization.decodeFromByteArray
 import kotlinx.serialization.encodeToByteArray
 
-/** Says where a roll-out stands. */
+/** Phase of a roll-out. */
 @Serializable
 public enum class FleetRolloutPhase { Running, Completed, RolledBack }
 
 /**
- * Describes the move of a pool's requests to the version [target].
+ * Describes the roll-out of the version [target] to a pool.
  *
- * @property id log index of the order; a later order for the pool has a higher one
- * @property durationMillis time within which it is to be decided
- * @property beganAtMillis moment of the order on the leading host's clock; only for display and after a restart
+ * @property id log index of the command that began the roll-out; higher for a later roll-out of the same pool
+ * @property durationMillis time within which the roll-out is completed or rolled back
+ * @property beganAtMillis start time on the leader's clock; used only for display and after a restart
  */
 @Serializable
 public data class FleetRollout(
@@ -38,10 +39,10 @@
     val phase: FleetRolloutPhase,
 )
 
-/** Asks for one change of the agreed state. */
+/** Command that changes the replicated state. */
 @Serializable
 public sealed interface FleetCommand {
-    /** Puts [document] in force unless its version is not above the one in force. */
+    /** Puts [document] in force if its version is higher than the one in force. */
     @Serializable
     @SerialName("d")
     public class Replace(
@@ -49,7 +50,7 @@
         @ByteString public val document: ByteArray,
     ) : FleetCommand
 
-    /** Starts a roll-out unless it is the newest one of the pool already. */
+    /** Begins a roll-out, unless the newest roll-out of the pool already has the same target. */
     @Serializable
     @SerialName("b")
     public data class Begin(
@@ -59,7 +60,7 @@
         val atMillis: Long,
     ) : FleetCommand
 
-    /** Ends the roll-out that was ordered at [rolloutId] unless it has ended. */
+    /** Ends the roll-out [rolloutId], unless it has already ended or a later one has begun. */
     @Serializable
     @SerialName("e")
     public data class End(
@@ -68,7 +69,7 @@
         val phase: FleetRolloutPhase,
     ) : FleetCommand
 
-    /** Takes a zone out or brings it back. */
+    /** Takes a zone out of service or puts it back into service. */
     @Serializable
     @SerialName("z")
     public data class SetZone(
@@ -77,14 +78,15 @@
     ) : FleetCommand
 }
 
-/** Encodes this command for the log. */
+/** Encodes this command for the replicated log. */
 public fun FleetCommand.encode(): ByteArray = fleetCbor.encodeToByteArray(this)
 
 /**
- * Holds the agreed state after the log entry [index].
+ * Snapshot of the replicated state after the log entry [index].
  *
  * @property version version of [document]; zero while there is none
  * @property document the operator's document, compressed, as it was accepted
+ * @property zonesOut zones that are out of service
  */
 @Serializable
 public class FleetView(
@@ -94,13 +96,13 @@
     public val rollouts: List<FleetRollout> = emptyList(),
     public val zonesOut: Set<ZoneName> = emptySet(),
 ) {
-    /** Returns the newest roll-out of [pool]. */
+    /** Returns the newest roll-out of [pool], or null if there has been none. */
     public fun rolloutOf(pool: PoolName): FleetRollout? = rollouts.firstOrNull { it.pool == pool }
 }
 
 private val fleetCbor = Cbor { ignoreUnknownKeys = true }
 
-/** Applies commands and hands each new view to [publish], on the thread of the replica. */
+/** Applies commands and passes each new view to [publish] on the replica's thread. */
 public class FleetState(
     private val publish: (FleetView) -> Unit,
 ) : StateMachine {
@@ -127,7 +129,7 @@
     }
 }
 
-/** Returns the view after [command] at [index], or null when it changes nothing. */
+/** Returns the view after [command] at [index], or null if the command has no effect. */
 internal fun FleetView.after(
     index: Long,
     command: FleetCommand,
--- a/fleet/src/main/kotlin/io/carawaytrack/fleet/RolloutPolicy.kt
+++ b/fleet/src/main/kotlin/io/carawaytrack/fleet/RolloutPolicy.kt
@@ -1,7 +1,7 @@
 /*
- * How a roll-out proceeds: which share of new sessions the new version gets at which time, and when what was seen of
- * it is enough to go back. The load it answers: one service of a few tens of requests a second, a new version of which
- * a third or more of the answers may be failures or several times slower, from the start, later, or on one route only.
+ * Progress of a roll-out: the share of new sessions that the new version receives over time, and the observations that
+ * cause a rollback. The policy is designed for a service with a few tens of requests per second, where a third or more
+ * of the new version's responses may fail or take several times as long, from the start, later, or on a single route.
  */
 package io.carawaytrack.fleet
 
@@ -9,54 +9,55 @@
 import kotlinx.serialization.Serializable
 
 /**
- * Bounds a roll-out.
+ * Limits on the exposure of requests to a bad version.
  *
- * @property exposureShare share of the service's requests that a bad version may have received
- * @property exposureSlack requests that it may have received beyond that share
+ * @property exposureShare maximum share of the service's requests that a bad version may receive
+ * @property exposureSlack number of requests that it may receive beyond that share
  */
 public data class RolloutBounds(
     val exposureShare: Double = 0.15,
     val exposureSlack: Int = 30,
 )
 
-/** Share of new sessions in the first half of a roll-out, as a part of the allowed exposure. */
-private const val FIRST_HALF_PART = 0.5
+/** Share of new sessions in the first half of a roll-out, as a ratio of the allowed exposure. */
+private const val FIRST_HALF_EXPOSURE_RATIO = 0.5
 
-/** Share of new sessions in the second half, as a part of the allowed exposure. */
-private const val SECOND_HALF_PART = 0.85
+/** Share of new sessions in the second half, as a ratio of the allowed exposure. */
+private const val SECOND_HALF_EXPOSURE_RATIO = 0.85
 
-/** Time before the end at which a version that has shown no fault takes all requests, in milliseconds. */
+/** Time before the end at which a version without detected faults receives all requests. */
 private const val COMPLETE_BEFORE_END_MILLIS = 1_800L
 
-/** Part of the duration before which no roll-out is completed: sessions stay where they are in the first half. */
-private const val EARLIEST_COMPLETION = 0.55
+/** Ratio of the duration before which no roll-out completes: sessions keep their version in the first half. */
+private const val EARLIEST_COMPLETION_RATIO = 0.55
 
-/** Failures of the new version below which it is never judged bad by failures. */
-private const val LEAST_FAILURES = 4
+/** Failures of the new version below which its failure ratio does not cause a rollback. */
+private const val MIN_FAILURES = 4
 
-/** Share of failures beyond that of the old version from which the new one is bad. */
-private const val BAD_FAILURE_SHARE = 0.12
+/** Excess of the new version's failure ratio over the old one's above which it is rolled back. */
+private const val MAX_EXCESS_FAILURE_RATIO = 0.12
 
-/** Attempts on one route below which the new version is never judged bad by their time. */
-private const val LEAST_TIMED = 5
+/** Timed attempts on a route below which their duration does not cause a rollback. */
+private const val MIN_TIMED_ATTEMPTS = 5
 
-/** Factor on the old version's mean time from which the new one is bad. */
-private const val BAD_TIME_FACTOR = 2.5
+/** Ratio of the new version's mean duration on a route to the old one's above which it is rolled back. */
+private const val MAX_SLOWDOWN_RATIO = 2.5
 
-/** Attempts over all routes below which the new version is never judged bad by the time of all. */
-private const val LEAST_TIMED_OVERALL = 15
+/** Timed attempts over all routes below which their total duration does not cause a rollback. */
+private const val MIN_TIMED_ATTEMPTS_OVERALL = 15
 
-/** Factor on the old version's time over all routes from which the new one is bad: more attempts need less of it. */
-private const val BAD_TIME_FACTOR_OVERALL = 1.6
+/** Slowdown over all routes above which a version is rolled back; lower, since more attempts make it reliable. */
+private const val MAX_SLOWDOWN_RATIO_OVERALL = 1.6
 
-/** Well-ended attempts for each unfinished one that a version needs to take all requests. */
-private const val ENDED_FOR_EACH_UNFINISHED = 3
+/** Successful attempts per unfinished one that a roll-out needs to complete. */
+private const val MIN_GOOD_PER_UNFINISHED = 3
 
 /**
- * Counts what was seen of one version on one route since a roll-out's order; tallies of several hosts add up.
+ * Counts the attempts at one version on one route since a roll-out began; the tallies of several hosts can be added.
  *
- * @property unfinished attempts that are still unanswered after an ordinary answer's time, or were left so
- * @property timeMillis sum of the times of good answers, and of the unfinished attempts so far
+ * @property good attempts that succeeded
+ * @property unfinished attempts without a response after the usual response time, whether still open or abandoned
+ * @property timeMillis total duration of the successful attempts, and of the unfinished ones so far
  */
 @Serializable
 public data class RouteTally(
@@ -66,13 +67,13 @@
     val timeMillis: Long = 0,
     val unfinished: Int = 0,
 ) {
-    /** Attempts of which a time is known, or a time that it exceeds. */
+    /** Number of attempts with a known duration, or a known lower bound of it. */
     public val timed: Int get() = good + unfinished
 
-    /** Mean time of an attempt in milliseconds; zero before there is one. */
+    /** Mean duration of the timed attempts in milliseconds; zero if there are none. */
     public val meanMillis: Double get() = if (timed == 0) 0.0 else timeMillis.toDouble() / timed
 
-    /** Adds what another host saw on the same route. */
+    /** Adds the counts of another host for the same route. */
     public operator fun plus(other: RouteTally): RouteTally = copy(
         good = good + other.good,
         failed = failed + other.failed,
@@ -81,22 +82,22 @@
     )
 }
 
-/** Holds the tallies of both versions of a roll-out. */
+/** Tallies of both versions of a roll-out, one for each route. */
 @Serializable
 public data class RolloutTally(
     @SerialName("order") val rolloutId: Long,
     val old: List<RouteTally> = emptyList(),
     val new: List<RouteTally> = emptyList(),
 ) {
-    /** Adds what another host saw of the same roll-out. */
+    /** Adds the tallies of another host for the same roll-out. */
     public operator fun plus(other: RolloutTally): RolloutTally =
-        copy(old = (old + other.old).summed(), new = (new + other.new).summed())
+        copy(old = (old + other.old).mergedByRoute(), new = (new + other.new).mergedByRoute())
 }
 
-private fun List<RouteTally>.summed(): List<RouteTally> =
+private fun List<RouteTally>.mergedByRoute(): List<RouteTally> =
     groupBy { it.route }.values.map { tallies -> tallies.reduce(RouteTally::plus) }
 
-/** Returns the share of new sessions, 0 to 1, that the new version gets [elapsedMillis] after the order. */
+/** Returns the share of new sessions, 0 to 1, that the new version receives [elapsedMillis] after the start. */
 public fun FleetRollout.newVersionShareAt(
     elapsedMillis: Long,
     bounds: RolloutBounds,
@@ -105,61 +106,61 @@
     FleetRolloutPhase.RolledBack -> 0.0
     FleetRolloutPhase.Running ->
         if (elapsedMillis * 2 < durationMillis) {
-            bounds.exposureShare * FIRST_HALF_PART
+            bounds.exposureShare * FIRST_HALF_EXPOSURE_RATIO
         } else {
-            bounds.exposureShare * SECOND_HALF_PART
+            bounds.exposureShare * SECOND_HALF_EXPOSURE_RATIO
         }
 }
 
-/** Returns the phase that the roll-out is to move to now, given all that was seen, or null while it goes on. */
+/** Returns the phase to which the roll-out moves given [tally], or null if it stays in the current phase. */
 public fun FleetRollout.nextPhase(
     tally: RolloutTally,
     elapsedMillis: Long,
     newVersionReady: Boolean,
 ): FleetRolloutPhase? {
     if (phase != FleetRolloutPhase.Running) return null
-    val earliest = durationMillis * EARLIEST_COMPLETION
-    val due = elapsedMillis >= maxOf(earliest.toLong(), durationMillis - COMPLETE_BEFORE_END_MILLIS)
+    val earliestMillis = durationMillis * EARLIEST_COMPLETION_RATIO
+    val due = elapsedMillis >= maxOf(earliestMillis.toLong(), durationMillis - COMPLETE_BEFORE_END_MILLIS)
     return when {
         tally.isBad() -> FleetRolloutPhase.RolledBack
         !due -> null
-        newVersionReady && tally.endsWell() -> FleetRolloutPhase.Completed
-        // Too little good was seen of it by the end: keeping the old version is the safe side.
+        newVersionReady && tally.canComplete() -> FleetRolloutPhase.Completed
+        // Not enough successful attempts by the end: keeping the old version is the safe choice.
         else -> FleetRolloutPhase.RolledBack
     }
 }
 
 private fun RolloutTally.isBad(): Boolean =
-    failsMore() || isSlowOverall() || new.any { it.failsMoreThan(oldOf(it)) || it.isSlow(oldOf(it)) }
+    failsMoreOverall() || isSlowOverall() || new.any { it.failsMoreThan(oldTallyFor(it)) || it.isSlow(oldTallyFor(it)) }
 
-private fun RolloutTally.endsWell(): Boolean {
+private fun RolloutTally.canComplete(): Boolean {
     val good = new.sumOf { it.good }
-    return good > 0 && good >= new.sumOf { it.unfinished } * ENDED_FOR_EACH_UNFINISHED
+    return good > 0 && good >= new.sumOf { it.unfinished } * MIN_GOOD_PER_UNFINISHED
 }
 
-/** Compares the time of all the new version's attempts with what the old one takes for as many on the same routes. */
+/** Compares the new version's total duration with the old one's for the same number of attempts on each route. */
 private fun RolloutTally.isSlowOverall(): Boolean {
-    val comparable = new.filter { oldOf(it).good >= LEAST_TIMED }
-    if (comparable.sumOf { it.timed } < LEAST_TIMED_OVERALL) return false
-    val expectedMillis = comparable.sumOf { it.timed * oldOf(it).meanMillis }
-    return comparable.sumOf { it.timeMillis } > BAD_TIME_FACTOR_OVERALL * expectedMillis
+    val comparable = new.filter { oldTallyFor(it).good >= MIN_TIMED_ATTEMPTS }
+    if (comparable.sumOf { it.timed } < MIN_TIMED_ATTEMPTS_OVERALL) return false
+    val expectedMillis = comparable.sumOf { it.timed * oldTallyFor(it).meanMillis }
+    return comparable.sumOf { it.timeMillis } > MAX_SLOWDOWN_RATIO_OVERALL * expectedMillis
 }
 
-private fun RolloutTally.oldOf(tally: RouteTally): RouteTally =
+private fun RolloutTally.oldTallyFor(tally: RouteTally): RouteTally =
     old.firstOrNull { it.route == tally.route } ?: RouteTally(tally.route)
 
-private fun RolloutTally.failsMore(): Boolean {
-    val all = RouteTally("all")
-    val sumOfNew = new.fold(all) { sum, tally -> sum + tally }
-    return sumOfNew.failsMoreThan(old.fold(all) { sum, tally -> sum + tally })
+private fun RolloutTally.failsMoreOverall(): Boolean {
+    val empty = RouteTally("all")
+    val newTotal = new.fold(empty) { sum, tally -> sum + tally }
+    return newTotal.failsMoreThan(old.fold(empty) { sum, tally -> sum + tally })
 }
 
 private fun RouteTally.failsMoreThan(old: RouteTally): Boolean =
-    failed >= LEAST_FAILURES && failureShare() > old.failureShare() + BAD_FAILURE_SHARE
+    failed >= MIN_FAILURES && failureRatio() > old.failureRatio() + MAX_EXCESS_FAILURE_RATIO
 
-private fun RouteTally.failureShare(): Double = failed.toDouble() / maxOf(1, good + failed)
+private fun RouteTally.failureRatio(): Double = failed.toDouble() / maxOf(1, good + failed)
 
 private fun RouteTally.isSlow(old: RouteTally): Boolean {
-    if (timed < LEAST_TIMED || old.good < LEAST_TIMED) return false
-    return meanMillis > BAD_TIME_FACTOR * old.meanMillis
+    if (timed < MIN_TIMED_ATTEMPTS || old.good < MIN_TIMED_ATTEMPTS) return false
+    return meanMillis > MAX_SLOWDOWN_RATIO * old.meanMillis
 }
--- a/fleet/src/main/kotlin/io/carawaytrack/fleet/UpstreamRegistry.kt
+++ b/fleet/src/main/kotlin/io/carawaytrack/fleet/UpstreamRegistry.kt
@@ -1,7 +1,7 @@
 /*
- * What the upstreams have said of themselves. Announcements reach a host directly or through other hosts, late, twice
- * and out of order; the registry keeps the newest for each upstream and tells an address's present holder from an
- * earlier one.
+ * Registry of the announced upstreams. Announcements reach a host directly or through other hosts, and may be delayed,
+ * duplicated or reordered. The registry keeps the newest announcement of each upstream and distinguishes the current
+ * owner of an address from an earlier one.
  */
 package io.carawaytrack.fleet
 
@@ -12,21 +12,21 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** Silence after which an upstream is forgotten, in milliseconds: over ten announcements at the platform's rate. */
+/** Time without an announcement after which an upstream is evicted: over ten announcements at the platform's rate. */
 public const val UPSTREAM_EXPIRY_MILLIS: Long = 30_000
 
-/** Departures kept, so that an announcement which was overtaken on its way revives nobody. */
-private const val KEPT_DEPARTURES = 1_024
+/** Number of deregistrations kept, so that a delayed announcement does not register a stopped upstream again. */
+private const val MAX_RETAINED_DEREGISTRATIONS = 1_024
 
 /**
- * Announces an upstream.
+ * Announcement of an upstream.
  *
  * @property version version of the software that it runs
- * @property slots requests that it works on at once
- * @property draining whether it will stop soon and takes no new work
+ * @property slots maximum number of concurrent requests
+ * @property draining whether it will stop soon and accepts no new requests
  * @property coldMillis time for which it stays cold, counted from the announcement
- * @property sequence rises with each announcement of one start
- * @property startedAtMillis moment of its start on its own clock; tells two starts under one identifier apart
+ * @property sequence increases with each announcement of the same start
+ * @property startedAtMillis start time on its own clock; distinguishes two starts under the same identifier
  */
 @Serializable
 public data class FleetUpstream(
@@ -41,12 +41,12 @@
     val sequence: Long,
     val startedAtMillis: Long,
 ) {
-    /** Returns whether this was said after [other] by the same upstream. */
+    /** Returns whether the same upstream made this announcement after [other]. */
     public fun isNewerThan(other: FleetUpstream): Boolean =
         compareValuesBy(this, other, FleetUpstream::startedAtMillis, FleetUpstream::sequence) > 0
 }
 
-/** Tells that the start [startedAtMillis] of an upstream has signed off; null stands for any start. */
+/** Deregistration of the start [startedAtMillis] of an upstream; null stands for any start. */
 @Serializable
 public data class Deregistration(
     val id: UpstreamId,
@@ -56,58 +56,58 @@
 /**
  * Holds an upstream's newest announcement.
  *
- * @property announcedAtMillis when it was made, on this host's clock
+ * @property announcedAtMillis time of the announcement on this host's clock
  */
 public data class KnownUpstream(
     val upstream: FleetUpstream,
     val announcedAtMillis: Long,
 ) {
-    /** Returns the moment until which the upstream is cold. */
+    /** Time until which the upstream is cold, on this host's clock. */
     public val coldUntilMillis: Long get() = announcedAtMillis + upstream.coldMillis
 }
 
-/** Says what an announcement changed. */
+/** Describes the effect of an announcement on the registry. */
 public enum class RegistryUpdate {
-    /** Nothing: an older or repeated announcement. */
+    /** The announcement is outdated or a duplicate. */
     Ignored,
 
-    /** Only the time at which the upstream was last heard. */
+    /** Only the time of the last announcement changed. */
     Refreshed,
 
-    /** Something that decides where requests go. */
+    /** A property that affects routing changed. */
     Changed,
 }
 
-/** Keeps the newest announcement of each upstream; not safe for use by several threads. */
+/** Keeps the newest announcement of each upstream; not thread-safe. */
 public interface UpstreamRegistry {
-    /** All upstreams that have not signed off or fallen silent for long. */
+    /** All upstreams that have neither deregistered nor expired. */
     public val upstreams: Collection<KnownUpstream>
 
     /** Returns the upstream [id], or null when it is not among [upstreams]. */
     public fun find(id: UpstreamId): KnownUpstream?
 
-    /** Takes in [announced], made [ageMillis] ago. */
+    /** Records the announcement [announced], made [ageMillis] ago. */
     public fun record(
         announced: FleetUpstream,
         ageMillis: Long = 0,
     ): RegistryUpdate
 
-    /** Takes in that an upstream has signed off; returns whether that was news. */
-    public fun deregister(departure: Deregistration): Boolean
+    /** Deregisters an upstream; returns whether the deregistration was not known yet. */
+    public fun deregister(deregistration: Deregistration): Boolean
 
-    /** Drops upstreams that have been silent for [UPSTREAM_EXPIRY_MILLIS] and returns them. */
+    /** Removes and returns the upstreams without an announcement for [UPSTREAM_EXPIRY_MILLIS]. */
     public fun evictExpired(): List<KnownUpstream>
 }
 
 /** Creates an empty registry. */
-public fun UpstreamRegistry(nowMillis: () -> Long): UpstreamRegistry = NewestAnnouncements(nowMillis)
+public fun UpstreamRegistry(nowMillis: () -> Long): UpstreamRegistry = NewestAnnouncementRegistry(nowMillis)
 
-private class NewestAnnouncements(
+private class NewestAnnouncementRegistry(
     private val nowMillis: () -> Long,
 ) : UpstreamRegistry {
     private val known = LinkedHashMap<UpstreamId, KnownUpstream>()
-    private val byAddress = HashMap<HostPort, UpstreamId>()
-    private val departed = LinkedHashMap<UpstreamId, Long>()
+    private val idsByAddress = HashMap<HostPort, UpstreamId>()
+    private val deregisteredStarts = LinkedHashMap<UpstreamId, Long>()
 
     override val upstreams: Collection<KnownUpstream> get() = known.values
 
@@ -117,60 +117,60 @@
         announced: FleetUpstream,
         ageMillis: Long,
     ): RegistryUpdate {
-        if (hasLeft(announced) || isOvertaken(announced)) return RegistryUpdate.Ignored
-        val before = known[announced.id]
-        if (before != null && !announced.isNewerThan(before.upstream)) return RegistryUpdate.Ignored
-        take(announced, ageMillis)
-        return if (before != null && before.upstream.decidesLike(announced)) {
+        if (isDeregistered(announced) || isSuperseded(announced)) return RegistryUpdate.Ignored
+        val previous = known[announced.id]
+        if (previous != null && !announced.isNewerThan(previous.upstream)) return RegistryUpdate.Ignored
+        store(announced, ageMillis)
+        return if (previous != null && previous.upstream.routesLike(announced)) {
             RegistryUpdate.Refreshed
         } else {
             RegistryUpdate.Changed
         }
     }
 
-    override fun deregister(departure: Deregistration): Boolean {
-        val present = known[departure.id]
-        val startedAtMillis = departure.startedAtMillis ?: present?.upstream?.startedAtMillis ?: return false
-        if (startedAtMillis <= (departed[departure.id] ?: Long.MIN_VALUE)) return false
-        departed.remove(departure.id)
-        departed[departure.id] = startedAtMillis
-        while (departed.size > KEPT_DEPARTURES) departed.remove(departed.keys.first())
-        if (present != null && present.upstream.startedAtMillis <= startedAtMillis) remove(present.upstream)
+    override fun deregister(deregistration: Deregistration): Boolean {
+        val current = known[deregistration.id]
+        val startedAtMillis = deregistration.startedAtMillis ?: current?.upstream?.startedAtMillis ?: return false
+        if (startedAtMillis <= (deregisteredStarts[deregistration.id] ?: Long.MIN_VALUE)) return false
+        deregisteredStarts.remove(deregistration.id)
+        deregisteredStarts[deregistration.id] = startedAtMillis
+        while (deregisteredStarts.size > MAX_RETAINED_DEREGISTRATIONS) deregisteredStarts.remove(deregisteredStarts.keys.first())
+        if (current != null && current.upstream.startedAtMillis <= startedAtMillis) remove(current.upstream)
         return true
     }
 
     override fun evictExpired(): List<KnownUpstream> {
         val oldestMillis = nowMillis() - UPSTREAM_EXPIRY_MILLIS
-        val silent = known.values.filter { it.announcedAtMillis < oldestMillis }
-        silent.forEach { remove(it.upstream) }
-        return silent
+        val expired = known.values.filter { it.announcedAtMillis < oldestMillis }
+        expired.forEach { remove(it.upstream) }
+        return expired
     }
 
-    private fun hasLeft(announced: FleetUpstream) =
-        announced.startedAtMillis <= (departed[announced.id] ?: Long.MIN_VALUE)
+    private fun isDeregistered(announced: FleetUpstream) =
+        announced.startedAtMillis <= (deregisteredStarts[announced.id] ?: Long.MIN_VALUE)
 
-    /** Returns whether a later start of another upstream holds the address. */
-    private fun isOvertaken(announced: FleetUpstream): Boolean {
-        val holder = byAddress[announced.address]?.let(known::get)?.upstream ?: return false
-        return holder.id != announced.id && holder.startedAtMillis > announced.startedAtMillis
+    /** Returns whether another upstream that started later owns the address. */
+    private fun isSuperseded(announced: FleetUpstream): Boolean {
+        val owner = idsByAddress[announced.address]?.let(known::get)?.upstream ?: return false
+        return owner.id != announced.id && owner.startedAtMillis > announced.startedAtMillis
     }
 
-    private fun take(
+    private fun store(
         announced: FleetUpstream,
         ageMillis: Long,
     ) {
-        val holder = byAddress[announced.address]
-        if (holder != null && holder != announced.id) known.remove(holder)
-        known[announced.id]?.let { if (it.upstream.address != announced.address) byAddress -= it.upstream.address }
+        val owner = idsByAddress[announced.address]
+        if (owner != null && owner != announced.id) known.remove(owner)
+        known[announced.id]?.let { if (it.upstream.address != announced.address) idsByAddress -= it.upstream.address }
         known[announced.id] = KnownUpstream(announced, nowMillis() - ageMillis)
-        byAddress[announced.address] = announced.id
+        idsByAddress[announced.address] = announced.id
     }
 
     private fun remove(upstream: FleetUpstream) {
         known -= upstream.id
-        byAddress.remove(upstream.address, upstream.id)
+        idsByAddress.remove(upstream.address, upstream.id)
     }
 }
 
-private fun FleetUpstream.decidesLike(other: FleetUpstream): Boolean = (coldMillis > 0) == (other.coldMillis > 0) &&
+private fun FleetUpstream.routesLike(other: FleetUpstream): Boolean = (coldMillis > 0) == (other.coldMillis > 0) &&
     copy(sequence = 0, coldMillis = 0) == other.copy(sequence = 0, coldMillis = 0)
--- a/fleet/src/test/kotlin/io/carawaytrack/fleet/CatalogTest.kt
+++ b/fleet/src/test/kotlin/io/carawaytrack/fleet/CatalogTest.kt
@@ -1,5 +1,5 @@
 /*
- * Requests against rows of the routes table.
+ * Matching of requests against the routes table.
  */
 package io.carawaytrack.fleet
 
@@ -56,7 +56,7 @@
         "shop.example, /a/x, , unknown key",
         "shop.example, /open/x, , open",
     )
-    fun `a request takes the row with the longest prefix`(
+    fun `a request matches the route with the longest prefix`(
         host: String,
         path: String,
         key: String?,
--- a/fleet/src/test/kotlin/io/carawaytrack/fleet/FleetStateTest.kt
+++ b/fleet/src/test/kotlin/io/carawaytrack/fleet/FleetStateTest.kt
@@ -1,5 +1,5 @@
 /*
- * Commands against the agreed state.
+ * Effect of commands on the replicated state.
  */
 package io.carawaytrack.fleet
 
@@ -29,9 +29,9 @@
 
     @TestFactory
     fun `the highest version stays in force with its own content`(): List<DynamicTest> = listOf(
-        Triple("a higher one", replace(8, "eight"), "eight"),
-        Triple("a lower one", replace(6, "six"), "seven"),
-        Triple("the same one with other content", replace(7, "another"), "seven"),
+        Triple("a higher version", replace(8, "eight"), "eight"),
+        Triple("a lower version", replace(6, "six"), "seven"),
+        Triple("the same version with other content", replace(7, "another"), "seven"),
     ).map { (name, command, expected) ->
         dynamicTest(name) {
             val views = ArrayList<FleetView>()
@@ -43,14 +43,14 @@
     }
 
     @Test
-    fun `a resent order to roll out changes nothing`() {
+    fun `a duplicate command to begin a roll-out changes nothing`() {
         val begin = FleetCommand.Begin(pool, "v2", durationMillis = 10_000, atMillis = 5)
         applyAll(begin, FleetCommand.End(pool, 1, FleetRolloutPhase.RolledBack), begin)
         expectThat(published.last().rollouts.map { it.phase }).containsExactly(FleetRolloutPhase.RolledBack)
     }
 
     @Test
-    fun `a verdict on an earlier order leaves a later one alone`() {
+    fun `ending an earlier roll-out does not affect a later one`() {
         applyAll(
             FleetCommand.Begin(pool, "v2", durationMillis = 10_000, atMillis = 5),
             FleetCommand.Begin(pool, "v3", durationMillis = 10_000, atMillis = 6),
@@ -60,12 +60,12 @@
     }
 
     @Test
-    fun `a restored copy goes on from the snapshot`() {
+    fun `a restored state machine continues from the snapshot`() {
         applyAll(replace(7, "seven"), FleetCommand.SetZone(ZoneName("a"), out = true))
         val views = ArrayList<FleetView>()
-        val copy = FleetState { views += it }
-        copy.restore(state.snapshot())
-        copy.apply(3, FleetCommand.SetZone(ZoneName("b"), out = true).encode())
+        val restored = FleetState { views += it }
+        restored.restore(state.snapshot())
+        restored.apply(3, FleetCommand.SetZone(ZoneName("b"), out = true).encode())
         expectThat(views.last().zonesOut).isEqualTo(setOf(ZoneName("a"), ZoneName("b")))
         expectThat(views.last().version).isEqualTo(7)
     }
--- a/fleet/src/test/kotlin/io/carawaytrack/fleet/RolloutPolicyTest.kt
+++ b/fleet/src/test/kotlin/io/carawaytrack/fleet/RolloutPolicyTest.kt
@@ -1,5 +1,5 @@
 /*
- * What was seen of a roll-out against its verdict, and the exposure of a version that turns out bad.
+ * Decisions on a roll-out for given tallies, and the number of requests that a bad version receives.
  */
 package io.carawaytrack.fleet
 
@@ -28,12 +28,12 @@
         val tally: RolloutTally,
         val elapsedMillis: Long,
         val ready: Boolean,
-        val verdict: FleetRolloutPhase?,
+        val expected: FleetRolloutPhase?,
     )
 
     @TestFactory
-    fun `a roll-out is judged by what was seen`(): List<DynamicTest> = listOf(
-        Case("goes on while nothing is wrong", tally(new = RouteTally("r", 20, 0, 2_000)), 6_000, true, null),
+    fun `the next phase of a roll-out depends on its tallies`(): List<DynamicTest> = listOf(
+        Case("continues while no fault is detected", tally(new = RouteTally("r", 20, 0, 2_000)), 6_000, true, null),
         Case(
             "completes shortly before its end",
             tally(new = RouteTally("r", 20, 0, 2_000)),
@@ -42,28 +42,28 @@
             FleetRolloutPhase.Completed,
         ),
         Case(
-            "goes back when a third of the answers fail",
+            "rolls back when a third of the attempts fail",
             tally(new = RouteTally("r", 8, 4, 800)),
             3_000,
             true,
             FleetRolloutPhase.RolledBack,
         ),
         Case(
-            "stays when the old version fails as often",
+            "continues when the old version fails as often",
             tally(RouteTally("r", 200, 80, 20_000), RouteTally("r", 10, 4, 1_000)),
             3_000,
             true,
             null,
         ),
         Case(
-            "goes back when answers take several times as long",
+            "rolls back when responses take several times as long",
             tally(new = RouteTally("r", 10, 0, 8_000)),
             3_000,
             true,
             FleetRolloutPhase.RolledBack,
         ),
         Case(
-            "goes back when one route of many fails",
+            "rolls back when only one of several routes fails",
             RolloutTally(
                 1,
                 listOf(RouteTally("r", 200), RouteTally("s", 50)),
@@ -74,14 +74,14 @@
             FleetRolloutPhase.RolledBack,
         ),
         Case(
-            "goes back when attempts go unanswered for several times as long",
+            "rolls back when unfinished attempts exceed several times the usual duration",
             tally(new = RouteTally("r", 1, 0, 300, unfinished = 5).copy(timeMillis = 3_000)),
             6_000,
             true,
             FleetRolloutPhase.RolledBack,
         ),
         Case(
-            "goes back when attempts on all routes take twice as long, though none on its own is slow enough",
+            "rolls back when all routes together take twice as long, although no single one exceeds the limit",
             RolloutTally(
                 1,
                 listOf(RouteTally("r", 131, 0, 290_755, 9), RouteTally("s", 293, 0, 63_659, 2)),
@@ -92,15 +92,15 @@
             FleetRolloutPhase.RolledBack,
         ),
         Case(
-            "goes back at its end when many attempts are unfinished",
+            "rolls back at its end when many attempts are unfinished",
             tally(new = RouteTally("r", 2, 0, 300, unfinished = 1)),
             23_000,
             true,
             FleetRolloutPhase.RolledBack,
         ),
-        Case("goes back at its end when nothing was seen", RolloutTally(1), 23_000, true, FleetRolloutPhase.RolledBack),
+        Case("rolls back at its end when there were no attempts", RolloutTally(1), 23_000, true, FleetRolloutPhase.RolledBack),
         Case(
-            "goes back at its end when the version is gone",
+            "rolls back at its end when no upstream with the new version is available",
             tally(new = RouteTally("r", 20, 0, 2_000)),
             23_000,
             false,
@@ -108,12 +108,12 @@
         ),
     ).map { case ->
         dynamicTest(case.name) {
-            expectThat(rollout.nextPhase(case.tally, case.elapsedMillis, case.ready)).isEqualTo(case.verdict)
+            expectThat(rollout.nextPhase(case.tally, case.elapsedMillis, case.ready)).isEqualTo(case.expected)
         }
     }
 
     @Test
-    fun `a bad version gets no more than its share of a day's requests`() {
+    fun `a bad version receives no more than its allowed share of requests`() {
         val bounds = RolloutBounds(exposureShare = 0.15, exposureSlack = 30)
         listOf(1L, 2L, 3L, 4L, 5L).forEach { seed ->
             val random = Random(seed)
@@ -126,8 +126,8 @@
                 val new = random.nextDouble() < current.newVersionShareAt(millis, bounds)
                 if (new) exposed++
                 val failed = if (new && random.nextDouble() < 0.4) 1 else 0
-                val seen = RouteTally("r", good = 1 - failed, failed = failed, timeMillis = 100)
-                val added = if (new) RolloutTally(1, new = listOf(seen)) else RolloutTally(1, old = listOf(seen))
+                val attempt = RouteTally("r", good = 1 - failed, failed = failed, timeMillis = 100)
+                val added = if (new) RolloutTally(1, new = listOf(attempt)) else RolloutTally(1, old = listOf(attempt))
                 tally += added
                 current.nextPhase(tally, millis, newVersionReady = true)?.let { current = current.copy(phase = it) }
             }
@@ -136,48 +136,48 @@
         }
     }
 
-    /** Plays 12 s of a version whose streams take 8 times as long, so that hardly any has ended by the end. */
+    /** Simulates 12 s of a version whose streams take 8 times as long, so that few of them end within the roll-out. */
     @Test
-    fun `a version that is too slow to end its answers goes back before two thirds of its roll-out`() {
+    fun `a version too slow to finish its responses is rolled back within two thirds of its roll-out`() {
         val short = rollout.copy(durationMillis = 12_000)
         listOf(1L, 2L, 3L, 4L, 5L).forEach { seed ->
             val random = Random(seed)
             val started = ArrayList<Triple<Long, Long, Boolean>>()
-            var judgedAtMillis = Long.MAX_VALUE
+            var rolledBackAtMillis = Long.MAX_VALUE
             for (millis in 0L until 12_000 step 30) {
                 val new = random.nextDouble() < short.newVersionShareAt(millis, RolloutBounds())
                 val tookMillis = 500 + random.nextLong(2_000)
                 started += Triple(millis, if (new) tookMillis * 8 else tookMillis, new)
-                val phase = short.nextPhase(seenAt(millis, started), millis, newVersionReady = true)
-                if (phase != null) judgedAtMillis = minOf(judgedAtMillis, millis)
+                val phase = short.nextPhase(tallyAt(millis, started), millis, newVersionReady = true)
+                if (phase != null) rolledBackAtMillis = minOf(rolledBackAtMillis, millis)
                 if (phase != null) expectThat(phase).isEqualTo(FleetRolloutPhase.RolledBack)
                 if (phase != null) break
             }
-            expectThat(judgedAtMillis).isLessThanOrEqualTo(8_000)
+            expectThat(rolledBackAtMillis).isLessThanOrEqualTo(8_000)
         }
     }
 
-    private fun seenAt(
+    private fun tallyAt(
         nowMillis: Long,
         started: List<Triple<Long, Long, Boolean>>,
     ): RolloutTally {
         val (new, old) = started.partition { it.third }
         val ended = old.filter { it.first + it.second <= nowMillis }
-        val ordinaryMillis = if (ended.isEmpty()) 0.0 else ended.sumOf { it.second }.toDouble() / ended.size
+        val usualMillis = if (ended.isEmpty()) 0.0 else ended.sumOf { it.second }.toDouble() / ended.size
         return RolloutTally(
             1,
-            listOf(tallyOf(old, nowMillis, ordinaryMillis)),
-            listOf(tallyOf(new, nowMillis, ordinaryMillis)),
+            listOf(tallyOf(old, nowMillis, usualMillis)),
+            listOf(tallyOf(new, nowMillis, usualMillis)),
         )
     }
 
     private fun tallyOf(
         attempts: List<Triple<Long, Long, Boolean>>,
         nowMillis: Long,
-        ordinaryMillis: Double,
+        usualMillis: Double,
     ): RouteTally {
         val (ended, open) = attempts.partition { it.first + it.second <= nowMillis }
-        val late = open.filter { nowMillis - it.first > ordinaryMillis }
+        val late = open.filter { nowMillis - it.first > usualMillis }
         val timeMillis = ended.sumOf { it.second } + late.sumOf { nowMillis - it.first }
         return RouteTally("r", good = ended.size, timeMillis = timeMillis, unfinished = late.size)
     }
--- a/fleet/src/test/kotlin/io/carawaytrack/fleet/UpstreamRegistryTest.kt
+++ b/fleet/src/test/kotlin/io/carawaytrack/fleet/UpstreamRegistryTest.kt
@@ -1,5 +1,5 @@
 /*
- * Announcements that arrive late, twice, out of order, or from an earlier holder of an address.
+ * Announcements that are delayed, duplicated or reordered, or come from an earlier owner of an address.
  */
 package io.carawaytrack.fleet
 
@@ -45,14 +45,14 @@
     private class Case(
         val name: String,
         val announced: FleetUpstream,
-        val news: RegistryUpdate,
+        val expected: RegistryUpdate,
     )
 
     @TestFactory
-    fun `an announcement counts when it is newer than what is known`(): List<DynamicTest> = listOf(
-        Case("a repeated one is no news", upstream("u", sequence = 5), RegistryUpdate.Ignored),
-        Case("an older one is no news", upstream("u", sequence = 4), RegistryUpdate.Ignored),
-        Case("a newer one that says the same refreshes", upstream("u", sequence = 6), RegistryUpdate.Refreshed),
+    fun `an announcement is recorded if it is newer than the known one`(): List<DynamicTest> = listOf(
+        Case("a duplicate is ignored", upstream("u", sequence = 5), RegistryUpdate.Ignored),
+        Case("an older one is ignored", upstream("u", sequence = 4), RegistryUpdate.Ignored),
+        Case("a newer one with the same content refreshes", upstream("u", sequence = 6), RegistryUpdate.Refreshed),
         Case(
             "a newer one that is draining changes",
             upstream("u", sequence = 6, draining = true),
@@ -60,30 +60,30 @@
         ),
         Case("one that has become cold changes", upstream("u", sequence = 6, coldMillis = 9), RegistryUpdate.Changed),
         Case("a later start changes", upstream("u", startedAtMillis = 11, sequence = 1), RegistryUpdate.Changed),
-        Case("an earlier start is no news", upstream("u", startedAtMillis = 9, sequence = 99), RegistryUpdate.Ignored),
+        Case("an earlier start is ignored", upstream("u", startedAtMillis = 9, sequence = 99), RegistryUpdate.Ignored),
         Case(
-            "an earlier holder is no news",
+            "an earlier owner of the address is ignored",
             upstream("old", startedAtMillis = 9, sequence = 9),
             RegistryUpdate.Ignored,
         ),
-        Case("a later holder changes", upstream("new", startedAtMillis = 12), RegistryUpdate.Changed),
+        Case("a later owner of the address changes", upstream("new", startedAtMillis = 12), RegistryUpdate.Changed),
     ).map { case ->
         dynamicTest(case.name) {
             val fresh = UpstreamRegistry { nowMillis }
             fresh.record(upstream("u", sequence = 5))
-            expectThat(fresh.record(case.announced)).isEqualTo(case.news)
+            expectThat(fresh.record(case.announced)).isEqualTo(case.expected)
         }
     }
 
     @Test
-    fun `a later holder of an address replaces the earlier one`() {
+    fun `a later owner of an address replaces the earlier one`() {
         registry.record(upstream("old"))
         registry.record(upstream("new", startedAtMillis = 20))
         expectThat(registry.upstreams.map { it.upstream.id.value }).containsExactly("new")
     }
 
     @Test
-    fun `an upstream that has signed off isn't revived by a late announcement`() {
+    fun `a delayed announcement does not register a deregistered upstream again`() {
         registry.record(upstream("u", sequence = 5))
         expectThat(registry.deregister(Deregistration(UpstreamId("u"), null))).isTrue()
         expectThat(registry.record(upstream("u", sequence = 6))).isEqualTo(RegistryUpdate.Ignored)
@@ -92,7 +92,7 @@
     }
 
     @Test
-    fun `a departure of an earlier start leaves the present one`() {
+    fun `deregistering an earlier start keeps the current one`() {
         registry.record(upstream("u", startedAtMillis = 20))
         registry.deregister(Deregistration(UpstreamId("u"), 10))
         expectThat(registry.upstreams.map { it.upstream.startedAtMillis }).containsExactly(20L)
@@ -100,7 +100,7 @@
     }
 
     @Test
-    fun `an upstream that has been silent for long is forgotten`() {
+    fun `an upstream without announcements expires`() {
         registry.record(upstream("u"))
         nowMillis += UPSTREAM_EXPIRY_MILLIS + 1
         expectThat(registry.evictExpired().map { it.upstream.id.value }).containsExactly("u")
@@ -108,7 +108,7 @@
     }
 
     @Test
-    fun `an announcement that was passed on counts from when it was made`() {
+    fun `the age of a relayed announcement is taken into account`() {
         registry.record(upstream("u", coldMillis = 3_000), ageMillis = 1_000)
         expectThat(registry.upstreams.single().coldUntilMillis).isEqualTo(nowMillis + 2_000)
     }
