--- a/fleet/src/main/kotlin/io/carawaytrack/fleet/UpstreamRegistry.kt
+++ b/fleet/src/main/kotlin/io/carawaytrack/fleet/UpstreamRegistry.kt
@@ -16,7 +16,7 @@
 public const val UPSTREAM_EXPIRY_MILLIS: Long = 30_000
 
 /** Number of deregistrations kept, so that a delayed announcement does not register a stopped upstream again. */
-private const val MAX_RETAINED_DEREGISTRATIONS = 1_024
+private const val MAX_DEREGISTRATIONS = 1_024
 
 /**
  * Announcement of an upstream.
@@ -107,7 +107,7 @@
 ) : UpstreamRegistry {
     private val known = LinkedHashMap<UpstreamId, KnownUpstream>()
     private val idsByAddress = HashMap<HostPort, UpstreamId>()
-    private val deregisteredStarts = LinkedHashMap<UpstreamId, Long>()
+    private val deregistered = LinkedHashMap<UpstreamId, Long>()
 
     override val upstreams: Collection<KnownUpstream> get() = known.values
 
@@ -131,10 +131,10 @@
     override fun deregister(deregistration: Deregistration): Boolean {
         val current = known[deregistration.id]
         val startedAtMillis = deregistration.startedAtMillis ?: current?.upstream?.startedAtMillis ?: return false
-        if (startedAtMillis <= (deregisteredStarts[deregistration.id] ?: Long.MIN_VALUE)) return false
-        deregisteredStarts.remove(deregistration.id)
-        deregisteredStarts[deregistration.id] = startedAtMillis
-        while (deregisteredStarts.size > MAX_RETAINED_DEREGISTRATIONS) deregisteredStarts.remove(deregisteredStarts.keys.first())
+        if (startedAtMillis <= (deregistered[deregistration.id] ?: Long.MIN_VALUE)) return false
+        deregistered.remove(deregistration.id)
+        deregistered[deregistration.id] = startedAtMillis
+        while (deregistered.size > MAX_DEREGISTRATIONS) deregistered.remove(deregistered.keys.first())
         if (current != null && current.upstream.startedAtMillis <= startedAtMillis) remove(current.upstream)
         return true
     }
@@ -147,7 +147,7 @@
     }
 
     private fun isDeregistered(announced: FleetUpstream) =
-        announced.startedAtMillis <= (deregisteredStarts[announced.id] ?: Long.MIN_VALUE)
+        announced.startedAtMillis <= (deregistered[announced.id] ?: Long.MIN_VALUE)
 
     /** Returns whether another upstream that started later owns the address. */
     private fun isSuperseded(announced: FleetUpstream): Boolean {
--- a/fleet/src/test/kotlin/io/carawaytrack/fleet/RolloutPolicyTest.kt
+++ b/fleet/src/test/kotlin/io/carawaytrack/fleet/RolloutPolicyTest.kt
@@ -98,7 +98,13 @@
             true,
             FleetRolloutPhase.RolledBack,
         ),
-        Case("rolls back at its end when there were no attempts", RolloutTally(1), 23_000, true, FleetRolloutPhase.RolledBack),
+        Case(
+            "rolls back at its end when there were no attempts",
+            RolloutTally(1),
+            23_000,
+            true,
+            FleetRolloutPhase.RolledBack,
+        ),
         Case(
             "rolls back at its end when no upstream with the new version is available",
             tally(new = RouteTally("r", 20, 0, 2_000)),
