--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/CoreMember.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/CoreMember.kt
@@ -1,7 +1,7 @@
 /*
- * This host's copy of the agreed state: its data folder, its replica of the log, and the changes of the group that it
- * makes while it leads. A group forms and repairs itself without an operator: a host with an empty disk asks to join
- * under a new identity, and the leader replaces members that lost their disk or have fallen silent by such newcomers.
+ * This host's copy of the replicated state: its data folder, its replica of the log, and the membership changes that it
+ * makes as the leader. A group forms and repairs itself without an operator: a host with an empty disk requests to join
+ * under a new identity, and the leader replaces members that lost their disk or are unresponsive by such replicas.
  */
 package io.carawaytrack.mesh
 
@@ -50,19 +50,19 @@
 
 private const val CLUSTER_ID = "carawaytrack"
 
-/** Marks the folder of the host that founded the group, so that it does so again if it restarts at once. */
-private const val FOUNDER_FILE = "founder"
+/** Marks the folder of the bootstrap node, so that it bootstraps the group again if it restarts at once. */
+private const val BOOTSTRAP_MARKER_FILE = "founder"
 
-/** Pause before a folder that failed is opened again, in milliseconds: long enough not to press a sick disk. */
-private const val REOPEN_PAUSE_MILLIS = 700L
+/** Delay before a failed folder is reopened: long enough not to overload a failing disk. */
+private const val REOPEN_DELAY_MILLIS = 700L
 
-/** Time for which a request to join counts, in milliseconds: several intervals at which it is repeated. */
+/** Time for which a join request is valid: several of the intervals at which it is resent. */
 private const val JOIN_VALID_MILLIS = 1_500L
 
-/** Bound on one command, in bytes: the largest document that an operator may send, uncompressed. */
+/** Maximum size of a command: the largest document that an operator may send, uncompressed. */
 private const val MAX_COMMAND_BYTES = 4 * 1024 * 1024
 
-/** Timing of the log: the interval keeps idle hosts cheap, the timeout stays well under the time to apply a change. */
+/** The heartbeat interval keeps idle hosts cheap; the election timeout is well below the time to apply a change. */
 private val replicaSettings =
     ReplicaSettings(
         electionTimeoutMillis = 1_000,
@@ -76,10 +76,12 @@
     )
 
 /**
- * Sets up this host's copy.
+ * Settings and callbacks of a [CoreMember].
  *
- * @property requiredVoters members without which nothing is accepted, so that what is acknowledged survives the stated
- * loss
+ * @property requiredVoters voters below which no command is accepted, so that an acknowledged change survives the
+ * configured number of lost hosts
+ * @property publish receives each new view on the replica's thread
+ * @property onLoop runs a task on the event loop
  */
 internal class CoreSetup(
     val folder: Path,
@@ -91,8 +93,8 @@
     val onLoop: (() -> Unit) -> Unit,
 )
 
-/** Returns whether the replica has taken anything from a leader; one that has not may join under its identity. */
-private fun ReplicaStatus.holdsLog(): Boolean = members.isNotEmpty() || commitIndex > 0
+/** Returns whether the replica has received anything from a leader; otherwise it may join under its identity. */
+private fun ReplicaStatus.hasLog(): Boolean = members.isNotEmpty() || commitIndex > 0
 
 /** Returns the address of the host that holds the replica [node]. */
 internal fun addressOf(node: NodeId): HostPort? = HostPort.parse(node.value.substringBefore('/'))
@@ -102,93 +104,95 @@
 ) : AutoCloseable {
     private val storage = Executors.newSingleThreadScheduledExecutor { Thread(it, "storage").apply { isDaemon = true } }
     private val scope = CoroutineScope(SupervisorJob() + Dispatchers.Unconfined)
-    private val joining = HashMap<NodeId, Long>()
-    private var changing = false
-    private var askedToRenew = false
+    private val joinRequestedAtMillis = HashMap<NodeId, Long>()
+    private var changeInProgress = false
+    private var renewing = false
 
     @Volatile
     private var replica: GroupReplica? = null
 
-    /** Whether the folder holds an identity already, so that this host neither founds a group nor joins as new. */
+    /** Whether the folder already has an identity; then this host neither bootstraps a group nor joins as a new one. */
     @Volatile
     var initialised: Boolean? = null
         private set
 
     val status: ReplicaStatus? get() = replica?.status()
 
-    /** Opens what the folder holds, if anything. */
+    /** Opens the replica in the folder, if there is one. */
     fun open() = storage.execute { withDisk(::openExisting) }
 
-    /** Initialises the empty folder; as the first member of a new group when [founding]. */
-    fun initialise(founding: Boolean) {
+    /** Initialises the empty folder; with [bootstrap], as the first member of a new group. */
+    fun initialise(bootstrap: Boolean) {
         if (initialised != false) return
         initialised = true
-        storage.execute { withDisk { initialiseAndOpen(it, founding) } }
+        storage.execute { withDisk { initialiseAndOpen(it, bootstrap) } }
     }
 
-    /** Keeps [recent] for the next start, without waiting for the disk. */
-    fun save(recent: Recent) = storage.execute { saveRecent(setup.folder, recent) }
+    /** Saves [recent] for the next start, without waiting for the disk. */
+    fun save(recent: RecentState) = storage.execute { saveRecentState(setup.folder, recent) }
 
     fun receive(message: MeshMessage.Replication) {
         val open = replica ?: return
         if (open.status().node == message.to) open.receive(message.from, message.payload)
     }
 
-    /** Commits a command; [done] is called on any thread. */
+    /** Commits a command; [done] is called on an arbitrary thread. */
     fun propose(
         command: ByteArray,
         done: (Result<ByteArray, Failure>) -> Unit,
-    ) = call(done) { open ->
+    ) = withReplica(done) { open ->
         val status = open.status()
         val voters = status.members.count { it.voter }
-        // Checked whoever leads by this status: leadership may be won between the check and the append.
+        // Checked even if this host does not lead yet: it may become the leader between the check and the append.
         when {
             voters >= setup.requiredVoters -> open.propose(command)
             status.leading ->
                 Err(
-                    ErrorKind.ControlUnavailable.notRun("expected ${setup.requiredVoters} members, found $voters"),
+                    ErrorKind.ControlUnavailable.notRun(
+                        "expected at least ${setup.requiredVoters} voters, found $voters",
+                    ),
                 )
-            else -> Err(ErrorKind.NotLeader.notRun("this host does not lead, or not yet"))
+            else -> Err(ErrorKind.NotLeader.notRun("this host is not the leader, or not yet"))
         }
     }
 
-    /** Confirms that this host leads and has applied all that was committed; [done] is called on any thread. */
-    fun confirm(done: (Result<Unit, Failure>) -> Unit) = call(done) { it.confirm() }
+    /** Confirms that this host leads and has applied all committed entries; [done] is called on an arbitrary thread. */
+    fun confirmLeadership(done: (Result<Unit, Failure>) -> Unit) = withReplica(done) { it.confirm() }
 
-    /** Takes in that a replica asks to join; [answer] sends it a message. */
-    fun joinRequested(
+    /** Handles a request to join the group; [reply] sends a message to the requesting replica. */
+    fun handleJoin(
         request: MeshMessage.Join,
-        answer: (MeshMessage) -> Unit,
+        reply: (MeshMessage) -> Unit,
     ) {
         if (status?.leading != true || isMember(request.node) || addressOf(request.node) == null) return
         if (request.fresh) {
-            joining[request.node] = setup.nowMillis()
+            joinRequestedAtMillis[request.node] = setup.nowMillis()
             return
         }
-        // Only a leader that a quorum still follows may say who is no longer a member.
-        confirm { confirmed ->
+        // Only a leader confirmed by a quorum can decide that a replica is no longer a member.
+        confirmLeadership { confirmed ->
             confirmed.onSuccess {
-                setup.onLoop { if (!isMember(request.node)) answer(MeshMessage.Removed(request.node)) }
+                setup.onLoop { if (!isMember(request.node)) reply(MeshMessage.Removed(request.node)) }
             }
         }
     }
 
     private fun isMember(node: NodeId) = status?.members?.any { it.node == node } == true
 
-    /** Returns the request to send while this host is no voter that hears a leader, or null. */
+    /** Returns the join request to send, or null if this host is a voter and knows a leader. */
     fun joinRequest(): MeshMessage.Join? {
         val status = status ?: return null
         val voter = status.members.any { it.node == status.node && it.voter }
         if (voter && status.leader != null) return null
-        return MeshMessage.Join(status.node, fresh = !status.holdsLog())
+        return MeshMessage.Join(status.node, fresh = !status.hasLog())
     }
 
-    /** Takes in that the group has removed [node]: a replica that holds a log starts anew with an empty folder. */
-    fun removed(node: NodeId) {
+    /** Handles the removal of [node] from the group: a replica with a log restarts with an empty folder. */
+    fun handleRemoval(node: NodeId) {
         val open = replica ?: return
         val status = open.status()
-        if (status.node != node || !status.holdsLog() || askedToRenew) return
-        askedToRenew = true
+        if (status.node != node || !status.hasLog() || renewing) return
+        renewing = true
         logger.event(
             "replica_renewed",
             mapOf("replica" to node.value, "reason" to "removed from the group"),
@@ -197,19 +201,19 @@
         replica = null
         storage.execute {
             open.close()
-            withDisk { disk -> clearFolder(disk).andThen { initialiseAndOpen(disk, founding = false) } }
-            askedToRenew = false
+            withDisk { disk -> clearFolder(disk).andThen { initialiseAndOpen(disk, bootstrap = false) } }
+            renewing = false
         }
     }
 
-    /** Makes the next change of the members that is due, if this host leads; to be called at a steady interval. */
+    /** Makes the next membership change, if this host leads and one is needed; called at a fixed interval. */
     fun maintain() {
         val open = replica ?: return
         val status = open.status()
-        if (!status.leading || changing) return
-        joining.values.removeIf { setup.nowMillis() - it > JOIN_VALID_MILLIS }
-        val change = dueChange(status.members, joining.keys, status.node) ?: return
-        changing = true
+        if (!status.leading || changeInProgress) return
+        joinRequestedAtMillis.values.removeIf { setup.nowMillis() - it > JOIN_VALID_MILLIS }
+        val change = nextMemberChange(status.members, joinRequestedAtMillis.keys, status.node) ?: return
+        changeInProgress = true
         scope.launch {
             open
                 .changeMembers(change)
@@ -218,15 +222,15 @@
                     val fields = mapOf("change" to change.toString(), "reason" to failure.detail)
                     logger.event("members_unchanged", fields, Level.DEBUG)
                 }
-            setup.onLoop { changing = false }
+            setup.onLoop { changeInProgress = false }
         }
     }
 
-    private fun <T> call(
+    private fun <T> withReplica(
         done: (Result<T, Failure>) -> Unit,
         work: suspend (GroupReplica) -> Result<T, Failure>,
     ) {
-        val open = replica ?: return done(Err(ErrorKind.NotLeader.notRun("this host holds no open replica")))
+        val open = replica ?: return done(Err(ErrorKind.NotLeader.notRun("this host has no open replica")))
         scope.launch { done(work(open)) }
     }
 
@@ -234,12 +238,12 @@
         openFileDisk(setup.folder).andThen(use).onFailure { failure ->
             val fields = mapOf("folder" to setup.folder.toString(), "reason" to failure.detail)
             logger.event("storage_failed", fields, Level.WARN)
-            reopenLater()
+            scheduleReopen()
         }
     }
 
-    private fun reopenLater() {
-        storage.schedule({ withDisk(::openExisting) }, REOPEN_PAUSE_MILLIS, TimeUnit.MILLISECONDS)
+    private fun scheduleReopen() {
+        storage.schedule({ withDisk(::openExisting) }, REOPEN_DELAY_MILLIS, TimeUnit.MILLISECONDS)
     }
 
     private fun openExisting(disk: Disk): Result<Unit, StorageFailure> = folderIdentity(disk).map { identity ->
@@ -249,14 +253,14 @@
 
     private fun initialiseAndOpen(
         disk: Disk,
-        founding: Boolean,
+        bootstrap: Boolean,
     ): Result<Unit, StorageFailure> {
         val incarnation = SecureRandom().nextLong()
         val node = NodeId("${setup.address}/${incarnation.toULong().toString(radix = 36)}")
         val identity = FolderIdentity(CLUSTER_ID, node, incarnation)
         return clearFolder(disk).andThen { initialiseFolder(disk, identity) }.map {
-            if (founding) disk.replace(FOUNDER_FILE, ByteArray(0))
-            logger.event("folder_initialised", mapOf("replica" to node.value, "founding" to founding))
+            if (bootstrap) disk.replace(BOOTSTRAP_MARKER_FILE, ByteArray(0))
+            logger.event("folder_initialised", mapOf("replica" to node.value, "founding" to bootstrap))
             openReplica(disk, identity)
         }
     }
@@ -265,28 +269,33 @@
         disk: Disk,
         identity: FolderIdentity,
     ) {
-        val founder = disk.read(FOUNDER_FILE) != null
+        val bootstrapped = disk.read(BOOTSTRAP_MARKER_FILE) != null
         replica =
             openReplica(
-                group = ReplicaGroup(CLUSTER_ID, identity.node, if (founder) listOf(identity.node) else emptyList()),
+                group =
+                    ReplicaGroup(
+                        CLUSTER_ID,
+                        identity.node,
+                        if (bootstrapped) listOf(identity.node) else emptyList(),
+                    ),
                 disk = disk,
                 stateMachine = FleetState(setup.publish),
                 send = { to, payload -> setup.send(identity.node, to, payload) },
                 nowMillis = setup.nowMillis,
                 random = Random(SecureRandom().nextLong()),
-                onHalt = ::halted,
+                onHalt = ::handleHalt,
                 settings = replicaSettings,
             ).mapError { failure ->
                 val fields = mapOf("replica" to identity.node.value, "reason" to failure.detail)
                 logger.event("replica_not_opened", fields, Level.WARN)
                 disk.close()
-                reopenLater()
+                scheduleReopen()
             }.getOrElse { return }
-        logger.event("replica_opened", mapOf("replica" to identity.node.value, "founder" to founder))
+        logger.event("replica_opened", mapOf("replica" to identity.node.value, "founder" to bootstrapped))
     }
 
-    /** Opens the folder again after a refusal by the disk; until then this host neither votes nor acknowledges. */
-    private fun halted(failure: Failure) {
+    /** Reopens the folder after a storage failure; until then this host neither votes nor acknowledges. */
+    private fun handleHalt(failure: Failure) {
         if (failure.kind == ErrorKind.ShuttingDown) return
         logger.event("replica_halted", mapOf("reason" to failure.detail), Level.WARN)
         val halted = replica
@@ -296,7 +305,7 @@
                 halted?.close()
                 withDisk(::openExisting)
             },
-            REOPEN_PAUSE_MILLIS,
+            REOPEN_DELAY_MILLIS,
             TimeUnit.MILLISECONDS,
         )
     }
--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/Links.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/Links.kt
@@ -1,6 +1,6 @@
 /*
- * The connections between hosts: frames with a length in front, over TCP, all on one event loop. A link on which
- * nothing arrives for a while is closed, because a cut network leaves connections open for minutes.
+ * Connections between hosts: length-prefixed frames over TCP, all on one event loop. A link that receives nothing for
+ * some time is closed, because a network partition leaves connections open for minutes.
  */
 package io.carawaytrack.mesh
 
@@ -27,34 +27,34 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** Largest frame, in bytes: a snapshot chunk or a whole document with room to spare. */
+/** Maximum frame size: fits a snapshot chunk or a whole document with a margin. */
 private const val MAX_FRAME_BYTES = 8 * 1024 * 1024
 
-/** Bytes of the length in front of a frame. */
-private const val LENGTH_BYTES = 4
+/** Size of the length prefix of a frame. */
+private const val LENGTH_PREFIX_BYTES = 4
 
-/** Bound on the opening of a connection to another host, in milliseconds: many times the longest round trip. */
+/** Timeout for connecting to another host: many times the longest round trip. */
 private const val CONNECT_TIMEOUT_MILLIS = 700
 
-/** Bytes that may wait for a slow peer; beyond them messages to it are dropped, as all of them are repeated. */
-private const val MAX_WAITING_BYTES = 16L * 1024 * 1024
+/** Maximum data pending for a slow peer; further messages are dropped, since all messages are sent repeatedly. */
+private const val MAX_PENDING_BYTES = 16L * 1024 * 1024
 
-/** A connection to another host; [peer] is null until its hello has arrived. */
+/** Connection to another host; [peer] is null until its hello message has arrived. */
 internal class MeshLink(
     private val channel: Channel,
     val dialled: HostPort?,
-    var heardAtMillis: Long,
+    var lastReceivedAtMillis: Long,
 ) {
     var peer: PeerInfo? = null
-    var pulse: MeshMessage.Pulse? = null
+    var lastHeartbeat: MeshMessage.Heartbeat? = null
     val isOpen: Boolean get() = channel.isActive
 
     fun send(message: MeshMessage) = send(message.encode())
 
-    /** Sends an encoded message; for one that goes to many peers. */
+    /** Sends an encoded message, so that a message to several peers is encoded once. */
     fun send(encoded: ByteArray) {
-        val waitingBytes = channel.unsafe().outboundBuffer()?.totalPendingWriteBytes() ?: 0
-        if (!channel.isActive || waitingBytes > MAX_WAITING_BYTES) return
+        val pendingBytes = channel.unsafe().outboundBuffer()?.totalPendingWriteBytes() ?: 0
+        if (!channel.isActive || pendingBytes > MAX_PENDING_BYTES) return
         channel.writeAndFlush(Unpooled.wrappedBuffer(encoded), channel.voidPromise())
     }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/** Takes what happens on links; all calls come on the event loop. */
+/** Callbacks for link events; all are called on the event loop. */
 internal class LinkEvents(
     val opened: (MeshLink) -> Unit,
     val received: (MeshLink, MeshMessage) -> Unit,
@@ -87,7 +87,7 @@
         .syncUninterruptibly()
         .channel()
 
-    /** Opens a link to [address]; the outcome arrives as an event. */
+    /** Opens a link to [address]; the outcome is reported as an event. */
     fun dial(address: HostPort) {
         Bootstrap()
             .group(group)
@@ -102,8 +102,8 @@
     private fun initializer(dialled: HostPort?) = object : ChannelInitializer<SocketChannel>() {
         override fun initChannel(channel: SocketChannel) {
             channel.pipeline().addLast(
-                LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
-                LengthFieldPrepender(LENGTH_BYTES),
+                LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, LENGTH_PREFIX_BYTES, 0, LENGTH_PREFIX_BYTES),
+                LengthFieldPrepender(LENGTH_PREFIX_BYTES),
                 LinkHandler(dialled),
             )
         }
@@ -125,7 +125,7 @@
             frame: ByteBuf,
         ) {
             val link = link ?: return
-            link.heardAtMillis = nowMillis()
+            link.lastReceivedAtMillis = nowMillis()
             val bytes = ByteArray(frame.readableBytes()).also(frame::readBytes)
             val message = decodeMeshMessage(bytes)
             if (message == null) {
@@ -140,12 +140,12 @@
             link?.let(events.closed)
         }
 
-        @Deprecated("Netty's own signature")
+        @Deprecated("Deprecated in Netty, but still the callback for exceptions")
         override fun exceptionCaught(
             context: ChannelHandlerContext,
             cause: Throwable,
         ) {
-            if (cause !is IOException) logger.warn(cause) { "the link to ${link?.peer?.address} failed" }
+            if (cause !is IOException) logger.warn(cause) { "link to ${link?.peer?.address} failed" }
             context.close()
         }
     }
--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/Mesh.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/Mesh.kt
@@ -1,8 +1,8 @@
 /*
- * How the hosts of a fleet find each other and share what they know. Every host keeps links to all hosts with a disk
- * that it knows of, and learns of them from its seeds. An upstream's announcement is passed on by the host that got it
- * through the hosts with a disk; the agreed state spreads by pulses that name its log index, so that a host which
- * missed a change notices within one interval.
+ * Discovery and state dissemination between the hosts of a fleet. Every host keeps links to all known hosts with a disk
+ * and discovers them through its seeds. The host that receives an upstream's announcement disseminates it through the
+ * hosts with a disk. Heartbeats carry the log index of the replicated state, so that a host which missed a change
+ * detects it within one interval.
  */
 package io.carawaytrack.mesh
 
@@ -30,25 +30,25 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** Interval of pulses, in milliseconds: a missed change is noticed well within the time to apply it. */
-private const val PULSE_MILLIS = 400L
+/** Heartbeat interval: a missed change is detected well within the time to apply it. */
+private const val HEARTBEAT_INTERVAL_MILLIS = 400L
 
-/** Silence after which a link is closed, in milliseconds: three missed pulses. */
-private const val LINK_SILENCE_MILLIS = 1_300L
+/** Time without a message after which a link is closed: three missed heartbeats. */
+private const val LINK_TIMEOUT_MILLIS = 1_300L
 
-/** Interval of dialling, joining and maintenance, in milliseconds: half a pulse. */
+/** Interval of dialling, joining and maintenance: half a heartbeat interval. */
 public const val MESH_TICK_MILLIS: Long = 200
 
-/** Pause before an unanswered request for a view is repeated, in milliseconds. */
-private const val VIEW_REPEAT_MILLIS = 300L
+/** Delay before an unanswered request for a view is retried. */
+private const val VIEW_RETRY_MILLIS = 300L
 
 /**
- * Sets up this host's part of the mesh.
+ * Settings of this host's part of the mesh.
  *
- * @property seeds mesh addresses of hosts to ask first
- * @property folder data folder of a host with a disk; null on the others
+ * @property seeds mesh addresses of the hosts to contact first
+ * @property folder data folder; null on a host without a disk
  * @property bootstrap whether the whole fleet starts for the first time
- * @property requiredVoters members of the core without which no change is accepted
+ * @property requiredVoters voters of the core below which no change is accepted
  */
 public data class MeshSettings(
     val self: PeerInfo,
@@ -59,11 +59,11 @@
 )
 
 /**
- * Tells what happens; all calls come on the event loop.
+ * Callbacks for mesh events; all are called on the event loop.
  *
- * @property viewChanged a newer agreed state is known
- * @property upstreamChanged something that decides where requests go was announced
- * @property upstreamRemoved an upstream has signed off or was forgotten
+ * @property viewChanged a newer replicated state is known
+ * @property upstreamChanged an upstream announced a change that affects routing
+ * @property upstreamRemoved an upstream has deregistered or expired
  */
 public class MeshEvents(
     public val viewChanged: (FleetView) -> Unit,
@@ -71,51 +71,51 @@
     public val upstreamRemoved: (Deregistration) -> Unit,
 )
 
-/** Joins this host to its fleet; to be used on the event loop only. */
+/** Connects this host to its fleet; must only be used on the event loop. */
 public interface Mesh : AutoCloseable {
-    /** The newest agreed state that this host knows. */
+    /** Newest replicated state that this host knows. */
     public val view: FleetView
 
-    /** What the upstreams have announced. */
+    /** Registry of the announced upstreams. */
     public val upstreams: UpstreamRegistry
 
-    /** Hosts that serve requests, as far as known; at least 1. */
+    /** Number of known hosts that serve requests; at least 1. */
     public val hostCount: Int
 
-    /** Mesh address of the leading host, or null while none is known. */
+    /** Mesh address of the leader, or null while none is known. */
     public val leader: HostPort?
 
     /** Whether this host leads. */
     public val leading: Boolean
 
-    /** Takes in an announcement that reached this host and passes it on. */
+    /** Records an announcement received by this host and disseminates it. */
     public fun announce(upstream: FleetUpstream)
 
-    /** Takes in that an upstream signs off and passes it on. */
-    public fun deregister(departure: Deregistration)
+    /** Deregisters an upstream and disseminates the deregistration. */
+    public fun deregister(deregistration: Deregistration)
 
     /**
-     * Commits [command]; [done] is called on the event loop. Fails with `NotLeader` on a host that doesn't lead, and as
-     * the log says.
+     * Commits [command]; [done] is called on the event loop. Fails with `NotLeader` on a host that does not lead, and
+     * with the failures of the replicated log.
      */
     public fun propose(
         command: FleetCommand,
         done: (Result<Unit, Failure>) -> Unit,
     )
 
-    /** Confirms that this host leads and that [view] holds all that was committed; fails like [propose]. */
+    /** Confirms that this host leads and that [view] includes all committed entries; fails like [propose]. */
     public fun confirmLeadership(done: (Result<Unit, Failure>) -> Unit)
 
-    /** Tells the leader what this host has seen of roll-outs since each one's order. */
+    /** Reports this host's tallies of the roll-outs, counted since each one began, to the leader. */
     public fun report(tallies: List<RolloutTally>)
 
-    /** Returns the sum of what all hosts have told this one of the roll-out [rolloutId]. */
+    /** Returns the sum of the tallies that all hosts have reported to this one for the roll-out [rolloutId]. */
     public fun tallyOf(rolloutId: Long): RolloutTally
 
-    /** Sends what is due and looks after links and members; to be called about every [MESH_TICK_MILLIS]. */
+    /** Sends heartbeats and batched updates, and maintains links and members; called about every [MESH_TICK_MILLIS]. */
     public fun tick()
 
-    /** Uses other seeds from now on. */
+    /** Replaces the seeds. */
     public fun updateSeeds(seeds: List<HostPort>)
 }
 
@@ -136,19 +136,28 @@
     private val self = settings.self
     private val loop = group.next()
     private val links =
-        Links(group, LinkEvents(::opened, ::received, ::closed, { logger.debug { "$it can't be reached" } }), nowMillis)
+        Links(
+            group,
+            LinkEvents(
+                ::handleOpened,
+                ::handleMessage,
+                ::handleClosed,
+                { logger.debug { "could not connect to $it" } },
+            ),
+            nowMillis,
+        )
     private val open = LinkedHashSet<MeshLink>()
     private val peers = Peers(self, settings.seeds, nowMillis)
     private val tallies = HashMap<HostPort, List<RolloutTally>>()
-    private val formation = Formation(settings, peers, nowMillis)
-    private val recentKeeper = RecentKeeper()
-    private var listening: Channel? = null
-    private var viewAskedAtMillis = 0L
-    private var lastPulseMillis = 0L
+    private val formation = GroupFormation(settings, peers, nowMillis)
+    private val recentStateSaver = RecentStateSaver()
+    private var listenChannel: Channel? = null
+    private var viewRequestedAtMillis = 0L
+    private var lastHeartbeatMillis = 0L
     private var core: CoreMember? = null
 
     override val upstreams: UpstreamRegistry = UpstreamRegistry(nowMillis)
-    private val spread = UpstreamSpread(self.core, upstreams, ::peerLinks, ::coreLinks, events, nowMillis)
+    private val dissemination = UpstreamDissemination(self.core, upstreams, ::peerLinks, ::coreLinks, events, nowMillis)
 
     override var view: FleetView = FleetView()
         private set
@@ -156,7 +165,7 @@
     override val hostCount: Int
         get() {
             val linked = open.mapNotNull { it.peer?.address }.toSet().size + 1
-            return maxOf(linked, open.maxOfOrNull { it.pulse?.hosts ?: 1 } ?: 1)
+            return maxOf(linked, open.maxOfOrNull { it.lastHeartbeat?.hostCount ?: 1 } ?: 1)
         }
 
     override val leading: Boolean get() = core?.status?.leading == true
@@ -164,23 +173,23 @@
     override val leader: HostPort?
         get() {
             val own = core?.status
-            val told = open.mapNotNull { it.pulse }.filter { it.leader != null }.maxByOrNull { it.term }
-            val newest = if (own?.leader != null && own.term >= (told?.term ?: 0)) own.leader else told?.leader
+            val reported = open.mapNotNull { it.lastHeartbeat }.filter { it.leader != null }.maxByOrNull { it.term }
+            val newest = if (own?.leader != null && own.term >= (reported?.term ?: 0)) own.leader else reported?.leader
             return newest?.let(::addressOf)
         }
 
     fun start() {
-        listening = links.listen(self.address)
+        listenChannel = links.listen(self.address)
         settings.folder?.let { folder ->
-            readRecent(folder)?.let { recent -> loop.execute { recall(recent) } }
+            readRecentState(folder)?.let { recent -> loop.execute { restore(recent) } }
             core = CoreMember(setup(folder)).also { it.open() }
         }
     }
 
-    /** Takes up what was known before a restart. */
-    private fun recall(recent: Recent) {
+    /** Restores the state that was known before a restart. */
+    private fun restore(recent: RecentState) {
         adopt(recent.view)
-        recent.upstreams.forEach { spread.recall(it) }
+        recent.upstreams.forEach { dissemination.restore(it) }
         val fields = mapOf("index" to recent.view.index, "upstreams" to recent.upstreams.size)
         logger.event("recent_state_recalled", fields)
     }
@@ -198,21 +207,21 @@
         onLoop = { loop.execute(it) },
     )
 
-    override fun announce(upstream: FleetUpstream) = spread.announce(upstream)
+    override fun announce(upstream: FleetUpstream) = dissemination.announce(upstream)
 
-    override fun deregister(departure: Deregistration) = spread.deregister(departure)
+    override fun deregister(deregistration: Deregistration) = dissemination.deregister(deregistration)
 
     override fun propose(
         command: FleetCommand,
         done: (Result<Unit, Failure>) -> Unit,
     ) {
-        val member = core ?: return done(Err(noCopy))
+        val member = core ?: return done(Err(noReplica))
         member.propose(command.encode()) { result -> loop.execute { done(result.toUnit()) } }
     }
 
     override fun confirmLeadership(done: (Result<Unit, Failure>) -> Unit) {
-        val member = core ?: return done(Err(noCopy))
-        member.confirm { result -> loop.execute { done(result) } }
+        val member = core ?: return done(Err(noReplica))
+        member.confirmLeadership { result -> loop.execute { done(result) } }
     }
 
     override fun report(tallies: List<RolloutTally>) {
@@ -229,120 +238,120 @@
 
     override fun tick() {
         val now = nowMillis()
-        open.filter { now - it.heardAtMillis > LINK_SILENCE_MILLIS }.forEach { link ->
+        open.filter { now - it.lastReceivedAtMillis > LINK_TIMEOUT_MILLIS }.forEach { link ->
             val fields = mapOf("peer" to link.peer?.address?.toString(), "dialled" to link.dialled?.toString())
             logger.event("link_silent", fields, Level.WARN)
             link.close()
         }
-        if (now - lastPulseMillis >= PULSE_MILLIS) pulse()
-        spread.tick()
-        peers.due(coreLinks().mapNotNull { it.peer?.address }.toSet()).forEach(links::dial)
+        if (now - lastHeartbeatMillis >= HEARTBEAT_INTERVAL_MILLIS) sendHeartbeats()
+        dissemination.tick()
+        peers.hostsToDial(coreLinks().mapNotNull { it.peer?.address }.toSet()).forEach(links::dial)
         core?.let { member ->
-            formation.tend(member, open, coreLinks(), groupExists = leader != null || view.index > 0)
-            recentKeeper.keep(member, view, upstreams.upstreams)
+            formation.maintain(member, open, coreLinks(), groupExists = leader != null || view.index > 0)
+            recentStateSaver.saveIfChanged(member, view, upstreams.upstreams)
         }
     }
 
-    private fun pulse() {
-        lastPulseMillis = nowMillis()
-        val pulse = currentPulse().encode()
-        open.forEach { it.send(pulse) }
+    private fun sendHeartbeats() {
+        lastHeartbeatMillis = nowMillis()
+        val heartbeat = currentHeartbeat().encode()
+        open.forEach { it.send(heartbeat) }
     }
 
-    private fun currentPulse(): MeshMessage.Pulse {
+    private fun currentHeartbeat(): MeshMessage.Heartbeat {
         val status = core?.status
         val lowest = if (view.index == 0L) peers.lowestCore() else null
-        return MeshMessage.Pulse(view.index, status?.leader, status?.term ?: 0, hostCount, lowest)
+        return MeshMessage.Heartbeat(view.index, status?.leader, status?.term ?: 0, hostCount, lowest)
     }
 
-    private fun opened(link: MeshLink) {
+    private fun handleOpened(link: MeshLink) {
         open += link
         link.send(MeshMessage.Hello(self, peers.cores()))
     }
 
-    private fun closed(link: MeshLink) {
+    private fun handleClosed(link: MeshLink) {
         open -= link
         link.peer?.let { peer ->
             if (linkTo(peer.address) == null) logger.event("peer_lost", fieldsOf(peer))
         }
     }
 
-    private fun received(
+    private fun handleMessage(
         link: MeshLink,
         message: MeshMessage,
     ) {
         when (message) {
-            is MeshMessage.Hello -> greeted(link, message)
-            is MeshMessage.Pulse -> pulsed(link, message)
-            is MeshMessage.Cores -> learn(message.cores)
-            is MeshMessage.Upstreams -> spread.received(link, message)
+            is MeshMessage.Hello -> handleHello(link, message)
+            is MeshMessage.Heartbeat -> handleHeartbeat(link, message)
+            is MeshMessage.Cores -> addCores(message.cores)
+            is MeshMessage.Upstreams -> dissemination.receive(link, message)
             is MeshMessage.ViewRequest -> if (view.index > message.haveIndex) link.send(MeshMessage.View(view))
             is MeshMessage.View -> adopt(message.view)
             is MeshMessage.Replication -> core?.receive(message)
-            is MeshMessage.Join -> core?.joinRequested(message) { link.send(it) }
-            is MeshMessage.Removed -> core?.removed(message.node)
+            is MeshMessage.Join -> core?.handleJoin(message) { link.send(it) }
+            is MeshMessage.Removed -> core?.handleRemoval(message.node)
             is MeshMessage.Tallies -> link.peer?.let { tallies[it.address] = message.tallies }
         }
     }
 
-    private fun greeted(
+    private fun handleHello(
         link: MeshLink,
         hello: MeshMessage.Hello,
     ) {
         if (hello.self.address == self.address) return link.close()
         val known = linkTo(hello.self.address) != null
         link.peer = hello.self
-        peers.met(hello.self)
+        peers.recordContact(hello.self)
         if (!known) logger.event("peer_linked", fieldsOf(hello.self))
-        learn(hello.cores + hello.self)
-        spread.tellAll(link)
-        // A host that has just started need not wait for the next interval to learn that it lacks the agreed state.
-        link.send(currentPulse())
+        addCores(hello.cores + hello.self)
+        dissemination.sendAll(link)
+        // Sent at once, so that a host that has just started detects without delay that it lacks the replicated state.
+        link.send(currentHeartbeat())
     }
 
-    private fun learn(cores: List<PeerInfo>) {
-        val news = peers.learn(cores)
-        if (news.isNotEmpty()) MeshMessage.Cores(news).encode().let { encoded -> open.forEach { it.send(encoded) } }
+    private fun addCores(cores: List<PeerInfo>) {
+        val added = peers.addCores(cores)
+        if (added.isNotEmpty()) MeshMessage.Cores(added).encode().let { encoded -> open.forEach { it.send(encoded) } }
     }
 
-    private fun pulsed(
+    private fun handleHeartbeat(
         link: MeshLink,
-        pulse: MeshMessage.Pulse,
+        heartbeat: MeshMessage.Heartbeat,
     ) {
-        link.pulse = pulse
+        link.lastHeartbeat = heartbeat
         val now = nowMillis()
-        if (pulse.viewIndex <= view.index || now - viewAskedAtMillis < VIEW_REPEAT_MILLIS) return
-        viewAskedAtMillis = now
+        if (heartbeat.viewIndex <= view.index || now - viewRequestedAtMillis < VIEW_RETRY_MILLIS) return
+        viewRequestedAtMillis = now
         link.send(MeshMessage.ViewRequest(view.index))
     }
 
     private fun adopt(newer: FleetView) {
         if (newer.index <= view.index) return
         view = newer
-        viewAskedAtMillis = 0
+        viewRequestedAtMillis = 0
         events.viewChanged(newer)
-        if (self.core) pulse()
+        if (self.core) sendHeartbeats()
     }
 
     /** Returns the newest open link to the host at [address]. */
     private fun linkTo(address: HostPort): MeshLink? = open.lastOrNull { it.isOpen && it.peer?.address == address }
 
-    /** Returns one link for each peer. */
+    /** Returns one open link for each peer. */
     private fun peerLinks(): Collection<MeshLink> =
         open.filter { it.isOpen && it.peer != null }.associateBy { it.peer?.address }.values
 
-    /** Returns one link for each host with a disk, those in this host's zone first. */
+    /** Returns one open link for each host with a disk, those in this host's zone first. */
     private fun coreLinks(): List<MeshLink> =
         peerLinks().filter { it.peer?.core == true }.sortedBy { it.peer?.zone != self.zone }
 
     override fun close() {
-        listening?.close()
+        listenChannel?.close()
         open.toList().forEach { it.close() }
         core?.close()
     }
 }
 
-private val noCopy = ErrorKind.NotLeader.notRun("this host keeps no copy of the agreed state")
+private val noReplica = ErrorKind.NotLeader.notRun("this host has no disk and no replica of the log")
 
 private fun Result<ByteArray, Failure>.toUnit(): Result<Unit, Failure> = map { }
 
--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/MeshMessage.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/MeshMessage.kt
@@ -1,6 +1,6 @@
 /*
- * The messages between the hosts of a fleet, as CBOR. Every link begins with a [MeshMessage.Hello] from both sides;
- * after it each side sends a pulse at a fixed interval, which also shows whether the other side has newer state.
+ * Messages between the hosts of a fleet, encoded as CBOR. Both sides of a link first send a [MeshMessage.Hello], then
+ * heartbeats at a fixed interval, which also show whether the other side has newer state.
  */
 @file:OptIn(ExperimentalSerializationApi::class)
 
@@ -25,8 +25,8 @@
 /**
  * Describes a host to its peers.
  *
- * @property address where it accepts links
- * @property core whether it has a disk and so keeps a copy of the agreed state
+ * @property address address on which it accepts links
+ * @property core whether it has a disk and therefore keeps a copy of the replicated state
  */
 @Serializable
 public data class PeerInfo(
@@ -35,7 +35,7 @@
     val core: Boolean,
 )
 
-/** Carries an upstream's announcement, made [ageMillis] before the message was sent. */
+/** Announcement of an upstream, made [ageMillis] before the message was sent. */
 @Serializable
 internal data class RelayedUpstream(
     val upstream: FleetUpstream,
@@ -44,7 +44,7 @@
 
 @Serializable
 internal sealed interface MeshMessage {
-    /** Opens a link; [cores] are the hosts with a disk that the sender knows. */
+    /** First message on a link; [cores] are the hosts with a disk that the sender knows. */
     @Serializable
     @SerialName("h")
     class Hello(
@@ -55,38 +55,38 @@
     /**
      * Shows that the sender is alive.
      *
-     * @property viewIndex log index of its view of the agreed state
-     * @property leader the replica that it follows, in [term]
-     * @property hosts hosts that it counts, itself included
-     * @property lowestCore the lowest address of a host with a disk that it knows, while a first group is formed
+     * @property viewIndex log index of its view of the replicated state
+     * @property leader replica that it follows in [term]
+     * @property hostCount number of hosts that it knows, including itself
+     * @property lowestCore lowest address of a host with a disk that it knows; only set while the first group forms
      */
     @Serializable
     @SerialName("p")
-    class Pulse(
+    class Heartbeat(
         val viewIndex: Long,
         val leader: NodeId?,
         val term: Long,
-        val hosts: Int,
+        @SerialName("hosts") val hostCount: Int,
         val lowestCore: HostPort? = null,
     ) : MeshMessage
 
-    /** Names hosts with a disk. */
+    /** Newly discovered hosts with a disk. */
     @Serializable
     @SerialName("c")
     class Cores(
         val cores: List<PeerInfo>,
     ) : MeshMessage
 
-    /** Passes announcements and departures on; the receiver passes them on in turn when [relay] is set. */
+    /** Announcements and deregistrations of upstreams; the receiver forwards them to its peers if [relay] is set. */
     @Serializable
     @SerialName("u")
     class Upstreams(
         val upstreams: List<RelayedUpstream>,
-        val departures: List<Deregistration> = emptyList(),
+        @SerialName("departures") val deregistrations: List<Deregistration> = emptyList(),
         val relay: Boolean = false,
     ) : MeshMessage
 
-    /** Asks for a view newer than [haveIndex]. */
+    /** Requests a view newer than [haveIndex]. */
     @Serializable
     @SerialName("q")
     class ViewRequest(
@@ -99,7 +99,7 @@
         val view: FleetView,
     ) : MeshMessage
 
-    /** Carries a message of the replicated log. */
+    /** Message of the replicated log. */
     @Serializable
     @SerialName("r")
     class Replication(
@@ -108,7 +108,7 @@
         @ByteString val payload: ByteArray,
     ) : MeshMessage
 
-    /** Asks the leader to take the replica [node] into the group; [fresh] while it holds nothing of any log. */
+    /** Requests the leader to add the replica [node] to the group; [fresh] while its log is empty. */
     @Serializable
     @SerialName("j")
     class Join(
@@ -116,14 +116,14 @@
         val fresh: Boolean,
     ) : MeshMessage
 
-    /** Tells the replica [node] that the group has removed it; it may come back under another identity. */
+    /** Notifies the replica [node] of its removal from the group; it may rejoin under another identity. */
     @Serializable
     @SerialName("x")
     class Removed(
         val node: NodeId,
     ) : MeshMessage
 
-    /** Tells the leader what the sender has seen of the roll-outs so far. */
+    /** Reports the sender's tallies of the roll-outs to the leader. */
     @Serializable
     @SerialName("t")
     class Tallies(
@@ -139,6 +139,6 @@
 
 internal fun MeshMessage.encode(): ByteArray = meshCbor.encodeToByteArray(this)
 
-/** Returns the message in [bytes], or null when another version may have written it. */
+/** Returns the message in [bytes], or null if it cannot be decoded, as another version may have encoded it. */
 internal fun decodeMeshMessage(bytes: ByteArray): MeshMessage? =
     orNullIfForeign { meshCbor.decodeFromByteArray<MeshMessage>(bytes) }
--- /dev/null
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/NextMemberChange.kt
@@ -0,0 +1,55 @@
+/*
+ * Self-repair of the core: selects the next membership change that the leader makes.
+ */
+package io.carawaytrack.mesh
+
+import io.carawaytrack.consensus.MemberChange
+import io.carawaytrack.consensus.MemberStanding
+import io.carawaytrack.model.NodeId
+
+/** Time without contact after which a waiting replica replaces a member: longer than the failure detection. */
+private const val REPLACEMENT_TIMEOUT_MILLIS = 3_000L
+
+/** Time without contact after which a member is removed from a group of even size, which is safer without it. */
+private const val EVEN_GROUP_REMOVAL_TIMEOUT_MILLIS = 8_000L
+
+/** Time without contact below which a learner counts as reachable: a few heartbeats. */
+private const val REACHABLE_MILLIS = 1_000L
+
+/**
+ * Returns the next membership change of the leader [self], given the replicas that are [joining], or null.
+ *
+ * A joining replica at the address of a member replaces it, since that member has lost its disk. Otherwise it replaces
+ * an unresponsive member, or is added if there is none. An unresponsive member is also removed from a group of even
+ * size, since the smaller group tolerates as many failures.
+ */
+internal fun nextMemberChange(
+    members: List<MemberStanding>,
+    joining: Set<NodeId>,
+    self: NodeId,
+): MemberChange? {
+    val joiningReplica = joining.firstOrNull { node -> members.none { it.node == node } }
+    val learner = members.firstOrNull { !it.voter }
+    val others = members.filter { it.node != self }
+    val predecessor = joiningReplica?.let { node -> others.firstOrNull { addressOf(it.node) == addressOf(node) } }
+    val leastResponsive = others.maxByOrNull { it.silentMillis }
+    val replicaWaiting = joiningReplica != null || learner?.let { it.silentMillis < REACHABLE_MILLIS } == true
+    val voters = members.count { it.voter }
+    return when {
+        predecessor != null -> MemberChange.Remove(predecessor.node)
+        leastResponsive != null && leastResponsive.isRemovable(replicaWaiting, voters) ->
+            MemberChange.Remove(leastResponsive.node)
+        learner != null -> if (learner.silentMillis < REACHABLE_MILLIS) MemberChange.Promote(learner.node) else null
+        joiningReplica != null -> MemberChange.AddLearner(joiningReplica)
+        else -> null
+    }
+}
+
+private fun MemberStanding.isRemovable(
+    replicaWaiting: Boolean,
+    voters: Int,
+): Boolean = when {
+    replicaWaiting -> silentMillis >= REPLACEMENT_TIMEOUT_MILLIS
+    !voter -> silentMillis >= EVEN_GROUP_REMOVAL_TIMEOUT_MILLIS
+    else -> voters % 2 == 0 && voters > 2 && silentMillis >= EVEN_GROUP_REMOVAL_TIMEOUT_MILLIS
+}
--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/Peers.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/Peers.kt
@@ -1,15 +1,15 @@
 /*
- * Which hosts with a disk are known, when each is to be dialled, and which of them founds the group of a new fleet.
+ * The known hosts with a disk, when to dial each, and which of them is the bootstrap node of a new fleet's group.
  */
 package io.carawaytrack.mesh
 
 import io.carawaytrack.model.HostPort
 
-/** Pause between two attempts to reach the same host, in milliseconds. */
-private const val REDIAL_MILLIS = 500L
+/** Interval between two connection attempts to the same host. */
+private const val REDIAL_INTERVAL_MILLIS = 500L
 
-/** Time without a link after which a host that is no seed is given up, in milliseconds: longer than any cut. */
-private const val GIVEN_UP_MILLIS = 60_000L
+/** Time without a link after which a host that is not a seed is forgotten: longer than any network partition. */
+private const val LOST_HOST_EXPIRY_MILLIS = 60_000L
 
 internal class Peers(
     private val self: PeerInfo,
@@ -17,13 +17,13 @@
     private val nowMillis: () -> Long,
 ) {
     private val cores = LinkedHashMap<HostPort, PeerInfo>()
-    private val metAtMillis = HashMap<HostPort, Long>()
+    private val lastContactAtMillis = HashMap<HostPort, Long>()
     private val dialledAtMillis = HashMap<HostPort, Long>()
-    private val cards = HashMap<HostPort, PeerInfo>()
+    private val peers = HashMap<HostPort, PeerInfo>()
 
     init {
         if (self.core) cores[self.address] = self
-        cards[self.address] = self
+        peers[self.address] = self
     }
 
     fun cores(): List<PeerInfo> = cores.values.toList()
@@ -34,60 +34,63 @@
         seeds = newSeeds
     }
 
-    fun met(card: PeerInfo) {
-        metAtMillis[card.address] = nowMillis()
-        cards[card.address] = card
+    fun recordContact(peer: PeerInfo) {
+        lastContactAtMillis[peer.address] = nowMillis()
+        peers[peer.address] = peer
     }
 
-    /** Adds hosts with a disk and returns those that were new. */
-    fun learn(told: List<PeerInfo>): List<PeerInfo> {
-        val news = told.filter { it.core && it.address !in cores }
-        news.forEach {
+    /** Adds the hosts with a disk among [received] and returns those that were not known yet. */
+    fun addCores(received: List<PeerInfo>): List<PeerInfo> {
+        val added = received.filter { it.core && it.address !in cores }
+        added.forEach {
             cores[it.address] = it
-            metAtMillis.putIfAbsent(it.address, nowMillis())
+            lastContactAtMillis.putIfAbsent(it.address, nowMillis())
         }
-        return news
+        return added
     }
 
-    /** Returns the hosts to dial now, given those that are linked. */
-    fun due(linkedCores: Set<HostPort>): List<HostPort> {
-        linkedCores.forEach { metAtMillis[it] = nowMillis() }
-        forgetLost(linkedCores)
-        val wanted = cores.keys + seeds.filter { linkedCores.isEmpty() || cards[it] == null || it in cores }
+    /** Returns the hosts to dial now, given the linked hosts with a disk. */
+    fun hostsToDial(linkedCores: Set<HostPort>): List<HostPort> {
+        linkedCores.forEach { lastContactAtMillis[it] = nowMillis() }
+        evictLost(linkedCores)
+        val wanted = cores.keys + seeds.filter { linkedCores.isEmpty() || peers[it] == null || it in cores }
         val due = (wanted - linkedCores - self.address).filter { isDue(it) }
         due.forEach { dialledAtMillis[it] = nowMillis() }
         return due
     }
 
     private fun isDue(address: HostPort) =
-        nowMillis() - (dialledAtMillis[address] ?: Long.MIN_VALUE / 2) >= REDIAL_MILLIS
+        nowMillis() - (dialledAtMillis[address] ?: Long.MIN_VALUE / 2) >= REDIAL_INTERVAL_MILLIS
 
-    private fun forgetLost(linked: Set<HostPort>) {
-        val oldestMillis = nowMillis() - GIVEN_UP_MILLIS
+    private fun evictLost(linked: Set<HostPort>) {
+        val oldestMillis = nowMillis() - LOST_HOST_EXPIRY_MILLIS
         cores.keys.removeIf { address ->
-            val lost = (metAtMillis[address] ?: 0) < oldestMillis
+            val lost = (lastContactAtMillis[address] ?: 0) < oldestMillis
             lost && address != self.address && address !in linked && address !in seeds
         }
     }
 
     /**
-     * Returns the host that founds the group, or null while that isn't certain: the first seed with a disk, or, where
-     * no seed has one, the host that all seeds name as the lowest with a disk.
+     * Returns the host that bootstraps the group, or null while it is undetermined: the first seed with a disk, or, if
+     * no seed has one, the host that all seeds report as the lowest one with a disk.
      */
-    fun founder(links: Collection<MeshLink>): HostPort? {
-        val seedCards = seeds.map { cards[it] ?: return firstCoreBeforeUnknown() }
-        seedCards.firstOrNull { it.core }?.let { return it.address }
-        val named = seeds.map { seed -> nameOf(seed, links) ?: return null }.toSet()
-        return named.singleOrNull()
+    fun bootstrapNode(links: Collection<MeshLink>): HostPort? {
+        val seedPeers = seeds.map { peers[it] ?: return firstCoreBeforeUnknown() }
+        seedPeers.firstOrNull { it.core }?.let { return it.address }
+        val reported = seeds.map { seed -> lowestCoreReportedBy(seed, links) ?: return null }.toSet()
+        return reported.singleOrNull()
     }
 
-    /** A seed that comes after a known one with a disk doesn't matter. */
+    /** Unknown seeds after a known one with a disk do not affect the choice. */
     private fun firstCoreBeforeUnknown(): HostPort? =
-        seeds.takeWhile { cards[it] != null }.firstNotNullOfOrNull { cards[it]?.takeIf(PeerInfo::core) }?.address
+        seeds.takeWhile { peers[it] != null }.firstNotNullOfOrNull { peers[it]?.takeIf(PeerInfo::core) }?.address
 
-    private fun nameOf(
+    private fun lowestCoreReportedBy(
         seed: HostPort,
         links: Collection<MeshLink>,
-    ): HostPort? =
-        if (seed == self.address) lowestCore() else links.firstOrNull { it.peer?.address == seed }?.pulse?.lowestCore
+    ): HostPort? = if (seed == self.address) {
+        lowestCore()
+    } else {
+        links.firstOrNull { it.peer?.address == seed }?.lastHeartbeat?.lowestCore
+    }
 }
--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/RecentState.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/RecentState.kt
@@ -1,6 +1,6 @@
 /*
- * What this host knew last, kept beside the log so that it can serve again at once after a restart, before the core has
- * elected a leader. It was committed and announced when it was written; what has changed since arrives from the peers.
+ * The last known state, saved next to the log so that a restarted host can serve at once, before the core has elected a
+ * leader. The state was committed and announced when it was saved; later changes are received from the peers.
  */
 @file:OptIn(ExperimentalSerializationApi::class)
 
@@ -27,65 +27,68 @@
 
 private val logger = KotlinLogging.logger {}
 
-private const val RECENT_FILE = "recent"
+private const val RECENT_STATE_FILE = "recent"
 
-/** Time for which an upstream that was known before a restart counts as cold, in milliseconds: a usual cold start. */
-private const val DOUBTED_MILLIS = 3_000L
+/** Time for which a restored upstream counts as cold: a usual cold start, since the upstream may be cold. */
+private const val RESTORED_COLD_MILLIS = 3_000L
 
-/** Time since such an upstream was heard, as far as its age is shown, in milliseconds: about a restart's duration. */
-internal const val RECENT_AGE_MILLIS: Long = 2_000
+/** Assumed age of a restored upstream's announcement: about the duration of a restart. */
+internal const val RESTORED_AGE_MILLIS: Long = 2_000
 
 @Serializable
-internal class Recent(
+internal class RecentState(
     val view: FleetView,
     val upstreams: List<FleetUpstream>,
 )
 
 private val recentCbor = Cbor { ignoreUnknownKeys = true }
 
-/** Has what is known written whenever it has changed. */
-internal class RecentKeeper {
-    private var keptIndex = 0L
-    private var kept: Map<UpstreamId, Long> = emptyMap()
+/** Saves the known state whenever it has changed. */
+internal class RecentStateSaver {
+    private var savedIndex = 0L
+    private var savedStarts: Map<UpstreamId, Long> = emptyMap()
 
-    fun keep(
+    fun saveIfChanged(
         member: CoreMember,
         view: FleetView,
         upstreams: Collection<KnownUpstream>,
     ) {
         val starts = upstreams.associate { it.upstream.id to it.upstream.startedAtMillis }
-        if (view.index == 0L || (view.index == keptIndex && starts == kept)) return
-        keptIndex = view.index
-        kept = starts
-        member.save(Recent(view, upstreams.map { it.upstream }))
+        if (view.index == 0L || (view.index == savedIndex && starts == savedStarts)) return
+        savedIndex = view.index
+        savedStarts = starts
+        member.save(RecentState(view, upstreams.map { it.upstream }))
     }
 }
 
-/** Writes [recent] to [folder]; a failure costs only the quick start, so it is logged and nothing else. */
-internal fun saveRecent(
+/** Writes [recent] to [folder]; a failure only slows down the next start, so it is logged and otherwise ignored. */
+internal fun saveRecentState(
     folder: Path,
-    recent: Recent,
+    recent: RecentState,
 ) {
     try {
-        replaceFile(folder, RECENT_FILE, sealed(recentCbor.encodeToByteArray(recent)))
+        replaceFile(folder, RECENT_STATE_FILE, sealed(recentCbor.encodeToByteArray(recent)))
     } catch (failure: IOException) {
         logger.event("recent_state_not_saved", mapOf("reason" to failure.toString()), Level.WARN)
     }
 }
 
-/** Returns what [saveRecent] wrote, each upstream as one that may be cold, or null when there is nothing whole. */
-internal fun readRecent(folder: Path): Recent? = try {
-    decode(Files.readAllBytes(folder.resolve(RECENT_FILE)))
+/** Returns the state that [saveRecentState] wrote, with all upstreams cold, or null if it is missing or corrupt. */
+internal fun readRecentState(folder: Path): RecentState? = try {
+    decode(Files.readAllBytes(folder.resolve(RECENT_STATE_FILE)))
 } catch (missing: IOException) {
-    logger.debug { "no recent state: $missing" }
+    logger.debug { "recent state could not be read: $missing" }
     null
 }
 
-private fun decode(bytes: ByteArray): Recent? {
+private fun decode(bytes: ByteArray): RecentState? {
     val content = unsealed(bytes) ?: return null
     return try {
-        val recent = recentCbor.decodeFromByteArray<Recent>(ByteArray(content.remaining()).also(content::get))
-        Recent(recent.view, recent.upstreams.map { it.copy(coldMillis = maxOf(it.coldMillis, DOUBTED_MILLIS)) })
+        val recent = recentCbor.decodeFromByteArray<RecentState>(ByteArray(content.remaining()).also(content::get))
+        RecentState(
+            recent.view,
+            recent.upstreams.map { it.copy(coldMillis = maxOf(it.coldMillis, RESTORED_COLD_MILLIS)) },
+        )
     } catch (otherVersion: IllegalArgumentException) {
         logger.event("recent_state_unreadable", mapOf("reason" to otherVersion.toString()), Level.WARN)
         null
--- a/mesh/src/test/kotlin/io/carawaytrack/mesh/MeshFormationTest.kt
+++ b/mesh/src/test/kotlin/io/carawaytrack/mesh/MeshFormationTest.kt
@@ -1,5 +1,5 @@
 /*
- * Hosts over loopback links with folders of their own: they form a group, agree, and repair themselves.
+ * Hosts linked over loopback, each with its own folder: group formation, replication and self-repair.
  */
 package io.carawaytrack.mesh
 
@@ -27,7 +27,7 @@
 import java.util.concurrent.LinkedBlockingQueue
 import java.util.concurrent.TimeUnit
 
-private const val LIMIT_SECONDS = 60L
+private const val TIMEOUT_SECONDS = 60L
 
 class MeshFormationTest {
     @TempDir
@@ -35,7 +35,7 @@
 
     private val hosts = ArrayList<Host>()
 
-    /** One host, with what it has heard in the order in which it did. */
+    /** A host and the events that it has received, in order of arrival. */
     private inner class Host(
         val address: HostPort,
         seeds: List<HostPort>,
@@ -69,22 +69,22 @@
         fun propose(command: FleetCommand): Result<Unit, Failure> {
             val done = CompletableFuture<Result<Unit, Failure>>()
             group.next().execute { mesh.propose(command) { done.complete(it) } }
-            return done.get(LIMIT_SECONDS, TimeUnit.SECONDS)
+            return done.get(TIMEOUT_SECONDS, TimeUnit.SECONDS)
         }
 
         fun awaitVersion(version: Long) {
             while (true) {
                 val view =
-                    checkNotNull(views.poll(LIMIT_SECONDS, TimeUnit.SECONDS)) {
-                        "expected version $version at $address, heard nothing more for $LIMIT_SECONDS s"
+                    checkNotNull(views.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+                        "expected version $version at $address, received no further view within $TIMEOUT_SECONDS s"
                     }
                 if (view.version == version) return
             }
         }
 
         fun stop() {
-            group.next().submit { mesh.close() }.get(LIMIT_SECONDS, TimeUnit.SECONDS)
-            group.shutdownGracefully(0, 0, TimeUnit.SECONDS).get(LIMIT_SECONDS, TimeUnit.SECONDS)
+            group.next().submit { mesh.close() }.get(TIMEOUT_SECONDS, TimeUnit.SECONDS)
+            group.shutdownGracefully(0, 0, TimeUnit.SECONDS).get(TIMEOUT_SECONDS, TimeUnit.SECONDS)
         }
     }
 
@@ -102,11 +102,11 @@
 
     private fun data(name: String) = Files.createDirectories(folder.resolve(name))
 
-    /** Proposes at each host in turn until the leader has accepted. */
+    /** Proposes [command] to each host in turn until the leader accepts it. */
     private fun commit(command: FleetCommand) {
-        val endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_SECONDS)
+        val endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS)
         while (System.nanoTime() < endNanos) if (hosts.any { it.propose(command).isOk }) return
-        error("expected a host to accept $command within $LIMIT_SECONDS s")
+        error("expected a host to accept $command within $TIMEOUT_SECONDS s")
     }
 
     private fun replace(version: Long) = FleetCommand.Replace(version, ByteArray(version.toInt()))
@@ -115,7 +115,7 @@
     fun stopAll() = hosts.forEach { it.stop() }
 
     @Test
-    fun `hosts that know three seeds form one group, and every host hears of a change`() {
+    fun `hosts with three common seeds form one group, and every host receives a change`() {
         val all = addresses(5)
         all.forEachIndexed { index, address -> start(address, all.take(3), if (index < 4) data("d$index") else null) }
         commit(replace(7))
@@ -123,7 +123,7 @@
     }
 
     @Test
-    fun `where no seed has a disk the hosts with one form the group`() {
+    fun `hosts with a disk form the group if no seed has one`() {
         val all = addresses(6)
         all.forEachIndexed { index, address -> start(address, all.take(3), if (index < 3) null else data("d$index")) }
         commit(replace(7))
@@ -131,7 +131,7 @@
     }
 
     @Test
-    fun `a host that lost its disk joins again and the change outlives another host`() {
+    fun `a host that lost its disk rejoins and receives the next change`() {
         val all = addresses(3)
         all.forEachIndexed { index, address -> start(address, all, data("d$index")) }
         commit(replace(7))
@@ -144,7 +144,7 @@
     }
 
     @Test
-    fun `an announcement at any host reaches every host, and so does the sign-off`() {
+    fun `an announcement and a deregistration at any host reach every host`() {
         val all = addresses(4)
         all.forEachIndexed { index, address -> start(address, all.take(3), if (index < 3) data("d$index") else null) }
         commit(replace(7))
@@ -162,22 +162,22 @@
                 sequence = 1,
                 startedAtMillis = 1,
             )
-        val outermost = hosts.last()
-        outermost.group.next().execute { outermost.mesh.announce(upstream) }
-        hosts.forEach { expectThat(it.upstreams.poll(LIMIT_SECONDS, TimeUnit.SECONDS)).isEqualTo("u") }
-        outermost.group.next().execute { outermost.mesh.deregister(Deregistration(upstream.id, null)) }
-        hosts.forEach { expectThat(it.upstreams.poll(LIMIT_SECONDS, TimeUnit.SECONDS)).isEqualTo("gone u") }
+        val disklessHost = hosts.last()
+        disklessHost.group.next().execute { disklessHost.mesh.announce(upstream) }
+        hosts.forEach { expectThat(it.upstreams.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isEqualTo("u") }
+        disklessHost.group.next().execute { disklessHost.mesh.deregister(Deregistration(upstream.id, null)) }
+        hosts.forEach { expectThat(it.upstreams.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isEqualTo("gone u") }
     }
 
     @Test
-    fun `a host without a disk refuses a change and names the leader`() {
+    fun `a host without a disk rejects a change and knows the leader`() {
         val all = addresses(4)
         all.forEachIndexed { index, address -> start(address, all.take(3), if (index < 3) data("d$index") else null) }
         commit(replace(7))
         hosts.forEach { it.awaitVersion(7) }
-        val outermost = hosts.last()
-        expectThat(outermost.propose(replace(8)).isOk).isEqualTo(false)
-        val leader = outermost.group.next().submit<String> { outermost.mesh.leader.toString() }
-        expectThat(leader.get(LIMIT_SECONDS, TimeUnit.SECONDS) in all.take(3).map { it.toString() }).isTrue()
+        val disklessHost = hosts.last()
+        expectThat(disklessHost.propose(replace(8)).isOk).isEqualTo(false)
+        val leader = disklessHost.group.next().submit<String> { disklessHost.mesh.leader.toString() }
+        expectThat(leader.get(TIMEOUT_SECONDS, TimeUnit.SECONDS) in all.take(3).map { it.toString() }).isTrue()
     }
 }
--- a/mesh/src/test/kotlin/io/carawaytrack/mesh/DueChangeTest.kt
+++ b/mesh/src/test/kotlin/io/carawaytrack/mesh/NextMemberChangeTest.kt
@@ -1,5 +1,5 @@
 /*
- * Members, newcomers and the change of the group that its leader makes next.
+ * The next membership change of the leader, given the members and the joining replicas.
  */
 package io.carawaytrack.mesh
 
@@ -12,7 +12,7 @@
 import strikt.api.expectThat
 import strikt.assertions.isEqualTo
 
-class DueChangeTest {
+class NextMemberChangeTest {
     private val a = NodeId("10.0.0.1:70/a")
     private val b = NodeId("10.0.0.2:70/b")
     private val c = NodeId("10.0.0.3:70/c")
@@ -39,47 +39,49 @@
 
     @TestFactory
     fun `the leader makes one change at a time`(): List<DynamicTest> = listOf(
-        Case("nothing is due in a whole group", listOf(voter(a), voter(b), voter(c)), emptySet(), null),
-        Case("a newcomer is added", listOf(voter(a)), setOf(fresh), MemberChange.AddLearner(fresh)),
-        Case("a newcomer that is a member already is left", listOf(voter(a), voter(b)), setOf(b), null),
+        Case("a complete group needs no change", listOf(voter(a), voter(b), voter(c)), emptySet(), null),
+        Case("a joining replica is added", listOf(voter(a)), setOf(fresh), MemberChange.AddLearner(fresh)),
+        Case("a joining replica that is already a member is ignored", listOf(voter(a), voter(b)), setOf(b), null),
         Case(
-            "a learner is promoted before the next newcomer is added",
+            "a learner is promoted before the next replica is added",
             listOf(voter(a), learner(b)),
             setOf(fresh),
             MemberChange.Promote(b),
         ),
         Case(
-            "a host that lost its disk takes its own place",
+            "a host that lost its disk replaces its former replica",
             listOf(voter(a), voter(b), voter(c)),
             setOf(wiped),
             MemberChange.Remove(b),
         ),
         Case(
-            "a newcomer takes the place of a silent member",
+            "a joining replica replaces an unresponsive member",
             listOf(voter(a), voter(b), voter(c, silentMillis = 3_000)),
             setOf(fresh),
             MemberChange.Remove(c),
         ),
         Case(
-            "a newcomer is added beside members that are merely slow",
+            "a joining replica is added if all members are only slow",
             listOf(voter(a), voter(b), voter(c, silentMillis = 2_900)),
             setOf(fresh),
             MemberChange.AddLearner(fresh),
         ),
         Case(
-            "a silent member stays in a group of odd size",
+            "an unresponsive member stays in a group of odd size",
             listOf(voter(a), voter(b), voter(c, silentMillis = 60_000)),
             emptySet(),
             null,
         ),
         Case(
-            "a silent member leaves a group of even size",
+            "an unresponsive member is removed from a group of even size",
             listOf(voter(a), voter(b), voter(c), voter(d, silentMillis = 8_000)),
             emptySet(),
             MemberChange.Remove(d),
         ),
-        Case("the last two stay together", listOf(voter(a), voter(b, silentMillis = 60_000)), emptySet(), null),
+        Case("a group of two keeps both members", listOf(voter(a), voter(b, silentMillis = 60_000)), emptySet(), null),
     ).map { case ->
-        dynamicTest(case.name) { expectThat(dueChange(case.members, case.joining, self = a)).isEqualTo(case.change) }
+        dynamicTest(case.name) {
+            expectThat(nextMemberChange(case.members, case.joining, self = a)).isEqualTo(case.change)
+        }
     }
 }
