--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/Links.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/Links.kt
@@ -46,7 +46,7 @@
     var lastReceivedAtMillis: Long,
 ) {
     var peer: PeerInfo? = null
-    var lastHeartbeat: MeshMessage.Heartbeat? = null
+    var heartbeat: MeshMessage.Heartbeat? = null
     val isOpen: Boolean get() = channel.isActive
 
     fun send(message: MeshMessage) = send(message.encode())
--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/Mesh.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/Mesh.kt
@@ -165,7 +165,7 @@
     override val hostCount: Int
         get() {
             val linked = open.mapNotNull { it.peer?.address }.toSet().size + 1
-            return maxOf(linked, open.maxOfOrNull { it.lastHeartbeat?.hostCount ?: 1 } ?: 1)
+            return maxOf(linked, open.maxOfOrNull { it.heartbeat?.hostCount ?: 1 } ?: 1)
         }
 
     override val leading: Boolean get() = core?.status?.leading == true
@@ -173,7 +173,7 @@
     override val leader: HostPort?
         get() {
             val own = core?.status
-            val reported = open.mapNotNull { it.lastHeartbeat }.filter { it.leader != null }.maxByOrNull { it.term }
+            val reported = open.mapNotNull { it.heartbeat }.filter { it.leader != null }.maxByOrNull { it.term }
             val newest = if (own?.leader != null && own.term >= (reported?.term ?: 0)) own.leader else reported?.leader
             return newest?.let(::addressOf)
         }
@@ -318,7 +318,7 @@
         link: MeshLink,
         heartbeat: MeshMessage.Heartbeat,
     ) {
-        link.lastHeartbeat = heartbeat
+        link.heartbeat = heartbeat
         val now = nowMillis()
         if (heartbeat.viewIndex <= view.index || now - viewRequestedAtMillis < VIEW_RETRY_MILLIS) return
         viewRequestedAtMillis = now
--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/Peers.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/Peers.kt
@@ -19,11 +19,11 @@
     private val cores = LinkedHashMap<HostPort, PeerInfo>()
     private val lastContactAtMillis = HashMap<HostPort, Long>()
     private val dialledAtMillis = HashMap<HostPort, Long>()
-    private val peers = HashMap<HostPort, PeerInfo>()
+    private val known = HashMap<HostPort, PeerInfo>()
 
     init {
         if (self.core) cores[self.address] = self
-        peers[self.address] = self
+        known[self.address] = self
     }
 
     fun cores(): List<PeerInfo> = cores.values.toList()
@@ -36,7 +36,7 @@
 
     fun recordContact(peer: PeerInfo) {
         lastContactAtMillis[peer.address] = nowMillis()
-        peers[peer.address] = peer
+        known[peer.address] = peer
     }
 
     /** Adds the hosts with a disk among [received] and returns those that were not known yet. */
@@ -53,7 +53,7 @@
     fun hostsToDial(linkedCores: Set<HostPort>): List<HostPort> {
         linkedCores.forEach { lastContactAtMillis[it] = nowMillis() }
         evictLost(linkedCores)
-        val wanted = cores.keys + seeds.filter { linkedCores.isEmpty() || peers[it] == null || it in cores }
+        val wanted = cores.keys + seeds.filter { linkedCores.isEmpty() || known[it] == null || it in cores }
         val due = (wanted - linkedCores - self.address).filter { isDue(it) }
         due.forEach { dialledAtMillis[it] = nowMillis() }
         return due
@@ -75,7 +75,7 @@
      * no seed has one, the host that all seeds report as the lowest one with a disk.
      */
     fun bootstrapNode(links: Collection<MeshLink>): HostPort? {
-        val seedPeers = seeds.map { peers[it] ?: return firstCoreBeforeUnknown() }
+        val seedPeers = seeds.map { known[it] ?: return firstCoreBeforeUnknown() }
         seedPeers.firstOrNull { it.core }?.let { return it.address }
         val reported = seeds.map { seed -> lowestCoreReportedBy(seed, links) ?: return null }.toSet()
         return reported.singleOrNull()
@@ -83,14 +83,16 @@
 
     /** Unknown seeds after a known one with a disk do not affect the choice. */
     private fun firstCoreBeforeUnknown(): HostPort? =
-        seeds.takeWhile { peers[it] != null }.firstNotNullOfOrNull { peers[it]?.takeIf(PeerInfo::core) }?.address
+        seeds.takeWhile { known[it] != null }.firstNotNullOfOrNull { known[it]?.takeIf(PeerInfo::core) }?.address
 
     private fun lowestCoreReportedBy(
         seed: HostPort,
         links: Collection<MeshLink>,
-    ): HostPort? = if (seed == self.address) {
+    ): HostPort? = if (seed ==
+        self.address
+    ) {
         lowestCore()
     } else {
-        links.firstOrNull { it.peer?.address == seed }?.lastHeartbeat?.lowestCore
+        links.firstOrNull { it.peer?.address == seed }?.heartbeat?.lowestCore
     }
 }
