--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/Peers.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/Peers.kt
@@ -88,9 +88,7 @@
     private fun lowestCoreReportedBy(
         seed: HostPort,
         links: Collection<MeshLink>,
-    ): HostPort? = if (seed ==
-        self.address
-    ) {
+    ): HostPort? = if (seed == self.address) {
         lowestCore()
     } else {
         links.firstOrNull { it.peer?.address == seed }?.heartbeat?.lowestCore
