--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Dispatcher.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Dispatcher.kt
@@ -132,7 +132,7 @@
         exchange: Exchange,
         target: UpstreamState,
         attempt: Attempt,
-    ) = connections.send(target.upstream.address, attempt, nonRetryable = !exchange.request.route.repeatable)
+    ) = connections.send(target.upstream.address, attempt, nonRetryable = !exchange.request.route.retryable)
 
     override fun recordOutcome(
         exchange: Exchange,
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Exchange.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Exchange.kt
@@ -158,7 +158,7 @@
 
     private fun isStalled(now: Long): Boolean {
         val upstream = target ?: return false
-        if (!route.repeatable || !relay.canResume) return false
+        if (!route.retryable || !relay.canResume) return false
         val sinceContentMillis = now - maxOf(lastContentAtMillis, sentAtMillis)
         return when {
             !route.streaming ->
@@ -332,7 +332,7 @@
     /** Takes a retry from the budget if the request may be sent again although an upstream may have executed it. */
     private fun tryRetry(): Boolean {
         val inTime = request.deadlineAtMillis - context.nowMillis() >= MIN_REMAINING_MILLIS
-        val allowed = route.repeatable && relay.canResume && possibleRuns < route.maxAttempts
+        val allowed = route.retryable && relay.canResume && possibleRuns < route.maxAttempts
         return allowed && inTime && !callerDisconnected && context.tryRetry(this)
     }
 
@@ -353,7 +353,7 @@
     override fun onCallerDisconnected() {
         if (phase == ExchangePhase.Ended) return
         callerDisconnected = true
-        val letRequestFinish = phase == ExchangePhase.Sent && !route.repeatable && !route.streaming
+        val letRequestFinish = phase == ExchangePhase.Sent && !route.retryable && !route.streaming
         if (!letRequestFinish) abandon()
     }
 
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Gateway.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Gateway.kt
@@ -9,13 +9,13 @@
 import io.carawaytrack.fleet.Catalog
 import io.carawaytrack.fleet.CatalogPool
 import io.carawaytrack.fleet.CatalogRoute
-import io.carawaytrack.fleet.Departure
+import io.carawaytrack.fleet.Deregistration
 import io.carawaytrack.fleet.FleetUpstream
 import io.carawaytrack.fleet.FleetView
 import io.carawaytrack.fleet.KnownUpstream
-import io.carawaytrack.fleet.Match
 import io.carawaytrack.fleet.RolloutBounds
 import io.carawaytrack.fleet.RolloutTally
+import io.carawaytrack.fleet.RouteMatch
 import io.carawaytrack.limits.RetrySettings
 import io.carawaytrack.model.ErrorKind
 import io.carawaytrack.model.Execution
@@ -98,7 +98,7 @@
     public fun updateUpstream(known: KnownUpstream)
 
     /** Handles the deregistration of an upstream. */
-    public fun removeUpstream(departure: Departure)
+    public fun removeUpstream(departure: Deregistration)
 
     /** Sets the number of [hosts] that share the upstreams' limits. */
     public fun setHostCount(hosts: Int)
@@ -179,7 +179,7 @@
         dispatcher.offerWaiting()
     }
 
-    override fun removeUpstream(departure: Departure) {
+    override fun removeUpstream(departure: Deregistration) {
         if (upstreams.remove(departure)) logEvent("upstream_gone", mapOf("upstream" to departure.id.value))
     }
 
@@ -217,9 +217,9 @@
                 ?.lowercase()
                 .orEmpty()
         when (val match = inForce.match(host, path, bearerKey(request.headers()))) {
-            Match.NoRoute -> refuse(request, body, caller, ErrorKind.UnknownRoute)
-            Match.UnknownKey -> refuse(request, body, caller, ErrorKind.UnknownKey)
-            is Match.Found -> {
+            RouteMatch.NoRoute -> refuse(request, body, caller, ErrorKind.UnknownRoute)
+            RouteMatch.UnknownKey -> refuse(request, body, caller, ErrorKind.UnknownKey)
+            is RouteMatch.Found -> {
                 val callerRequest = readRequest(request, body, match, headerNames, nowMillis())
                 dispatcher.begin(callerRequest, choosePool(match.route, callerRequest.id, inForce), caller, draining)
             }
@@ -286,7 +286,7 @@
     "pool" to upstream.pool.value,
     "upstreamZone" to upstream.zone.value,
     "version" to upstream.version,
-    "leaving" to upstream.leaving,
+    "leaving" to upstream.draining,
     "coldMillis" to upstream.coldMillis,
     "sequence" to upstream.sequence,
 )
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/ResponseRelay.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/ResponseRelay.kt
@@ -22,7 +22,7 @@
     private val caller: CallerConnection,
     private val headerNames: HeaderNames,
 ) {
-    private val scanner = if (request.route.repeatable) EventScanner(request.lastEventId()) else null
+    private val scanner = if (request.route.retryable) EventScanner(request.lastEventId()) else null
     private var buffered: CompositeByteBuf? = null
 
     /** Whether the head of a response has been sent to the caller. */
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/RolloutTracker.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/RolloutTracker.kt
@@ -9,7 +9,7 @@
 import io.carawaytrack.fleet.RolloutBounds
 import io.carawaytrack.fleet.RolloutTally
 import io.carawaytrack.fleet.RouteTally
-import io.carawaytrack.fleet.shareAt
+import io.carawaytrack.fleet.newVersionShareAt
 
 /** An attempt that has not ended. */
 internal class OpenAttempt(
@@ -43,7 +43,7 @@
 
     /** Stops tracking roll-outs that have ended and starts tracking new ones. */
     fun update(rollouts: List<FleetRollout>) {
-        val running = rollouts.filter { it.phase == FleetRolloutPhase.Running }.map { it.order }
+        val running = rollouts.filter { it.phase == FleetRolloutPhase.Running }.map { it.id }
         tracked.keys.retainAll(running.toSet())
         running.forEach { tracked.getOrPut(it) { TrackedRollout(nowMillis()) } }
     }
@@ -53,8 +53,8 @@
         rollout: FleetRollout,
         session: String,
     ): Boolean {
-        val sinceMillis = tracked[rollout.order]?.sinceMillis ?: return false
-        return unitHash(session) < rollout.shareAt(nowMillis() - sinceMillis, bounds)
+        val sinceMillis = tracked[rollout.id]?.sinceMillis ?: return false
+        return unitHash(session) < rollout.newVersionShareAt(nowMillis() - sinceMillis, bounds)
     }
 
     /** Counts a response or a failure of [version]. */
@@ -65,20 +65,20 @@
         good: Boolean,
         tookMillis: Long,
     ) {
-        val tallies = tracked[rollout.order]?.talliesOf(onNewVersion = version == rollout.target) ?: return
+        val tallies = tracked[rollout.id]?.talliesOf(onNewVersion = version == rollout.target) ?: return
         val outcome = if (good) RouteTally(route, good = 1, timeMillis = tookMillis) else RouteTally(route, failed = 1)
         tallies.merge(route, outcome, RouteTally::plus)
     }
 
     /** Counts an attempt that was abandoned without a response; one abandoned early is not significant. */
     fun recordAbandoned(attempt: OpenAttempt) {
-        val rollout = tracked[attempt.rollout.order]?.takeIf { it.isLate(attempt) } ?: return
+        val rollout = tracked[attempt.rollout.id]?.takeIf { it.isLate(attempt) } ?: return
         rollout.talliesOf(attempt.onNewVersion).merge(attempt.route, unfinished(attempt), RouteTally::plus)
     }
 
     /** Returns the outcomes of each running roll-out, including the [open] attempts that take longer than usual. */
     fun tallies(open: List<OpenAttempt>): List<RolloutTally> = tracked.map { (order, rollout) ->
-        val late = open.filter { it.rollout.order == order && rollout.isLate(it) }
+        val late = open.filter { it.rollout.id == order && rollout.isLate(it) }
         val (onNewVersion, onOldVersion) = late.partition { it.onNewVersion }
         RolloutTally(order) +
             RolloutTally(
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamDirectory.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamDirectory.kt
@@ -5,7 +5,7 @@
 package io.carawaytrack.gateway
 
 import io.carawaytrack.fleet.CatalogPool
-import io.carawaytrack.fleet.Departure
+import io.carawaytrack.fleet.Deregistration
 import io.carawaytrack.fleet.FleetRollout
 import io.carawaytrack.fleet.FleetRolloutPhase
 import io.carawaytrack.fleet.FleetView
@@ -83,7 +83,7 @@
     }
 
     /** Removes a departed upstream; returns whether it was known. */
-    fun remove(departure: Departure): Boolean {
+    fun remove(departure: Deregistration): Boolean {
         val state = states[departure.id] ?: return false
         val startedAtMillis = departure.startedAtMillis
         if (startedAtMillis != null && state.upstream.startedAtMillis > startedAtMillis) return false
@@ -100,14 +100,14 @@
 
     /** Updates the time of the last announcement of each upstream. */
     fun refresh(announcements: Collection<KnownUpstream>) = announcements.forEach { known ->
-        states[known.upstream.id]?.takeIf { it.announcedAtMillis < known.heardAtMillis }?.applyAnnouncement(known)
+        states[known.upstream.id]?.takeIf { it.announcedAtMillis < known.announcedAtMillis }?.applyAnnouncement(known)
     }
 
     fun serves(
         pool: PoolName,
         version: String,
     ): Boolean = states.values.any {
-        it.upstream.pool == pool && it.upstream.version == version && !it.upstream.leaving && !it.isPaused
+        it.upstream.pool == pool && it.upstream.version == version && !it.upstream.draining && !it.isPaused
     }
 
     /** Returns whether no upstream can accept the request, now or once it has free capacity. */
@@ -198,5 +198,5 @@
     }
 
     private fun isInService(state: UpstreamState) =
-        !state.departed && !state.upstream.leaving && state.upstream.zone !in view.zonesOut
+        !state.departed && !state.upstream.draining && state.upstream.zone !in view.zonesOut
 }
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamState.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamState.kt
@@ -50,7 +50,7 @@
 ) {
     var upstream: FleetUpstream = known.upstream
         private set
-    var announcedAtMillis = known.heardAtMillis
+    var announcedAtMillis = known.announcedAtMillis
         private set
     private var announcedColdUntilMillis = known.coldUntilMillis
     private var assumedColdUntilMillis = 0L
@@ -95,7 +95,7 @@
 
     fun applyAnnouncement(known: KnownUpstream) {
         upstream = known.upstream
-        announcedAtMillis = known.heardAtMillis
+        announcedAtMillis = known.announcedAtMillis
         announcedColdUntilMillis = known.coldUntilMillis
         assumedColdUntilMillis = 0
     }
