--- a/agent/src/main/kotlin/io/carawaytrack/agent/Agent.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/Agent.kt
@@ -19,7 +19,7 @@
 import io.carawaytrack.process.openTelemetry
 import io.carawaytrack.telemetry.AgentMetrics
 import io.carawaytrack.telemetry.ObservabilityServer
-import io.carawaytrack.telemetry.watchLease
+import io.carawaytrack.telemetry.registerLeaseGauge
 import io.carawaytrack.wire.LinkHub
 import io.carawaytrack.wire.OpenAttempt
 import io.github.oshai.kotlinlogging.KotlinLogging
@@ -77,7 +77,7 @@
 
     suspend fun run(awaitStop: suspend () -> Unit) {
         port = hub.listen(settings.linkAddress, entryService::serve)
-        watchLease(telemetry.registry, control.lease::remainingMillis)
+        registerLeaseGauge(telemetry.registry, control.lease::remainingMillis)
         control.start()
         val ready = { control.lease.held && !admissionCheck.shuttingDown }
         ObservabilityServer(process.observability, telemetry.registry, ready).use {
--- a/control/src/main/kotlin/io/carawaytrack/control/ControlHost.kt
+++ b/control/src/main/kotlin/io/carawaytrack/control/ControlHost.kt
@@ -17,8 +17,8 @@
 import io.carawaytrack.process.openTelemetry
 import io.carawaytrack.telemetry.ControlMetrics
 import io.carawaytrack.telemetry.ControlSources
-import io.carawaytrack.telemetry.LedgerStanding
-import io.carawaytrack.telemetry.LogStanding
+import io.carawaytrack.telemetry.LedgerStatus
+import io.carawaytrack.telemetry.LogStatus
 import io.carawaytrack.telemetry.ObservabilityServer
 import io.carawaytrack.wire.LinkHub
 import io.github.oshai.kotlinlogging.KotlinLogging
@@ -96,9 +96,9 @@
         upstreams = registry::announcements,
     )
 
-    private fun ledgerStanding(): LedgerStanding {
+    private fun ledgerStanding(): LedgerStatus {
         val size = state.ledger.size()
-        return LedgerStanding(openIntents = size.openRequests.toLong(), sessions = size.sessions.toLong())
+        return LedgerStatus(openIntents = size.openRequests.toLong(), sessions = size.sessions.toLong())
     }
 
     private fun openReplica(): GroupReplica {
@@ -130,4 +130,4 @@
 }
 
 private fun ReplicaStatus.toStanding() =
-    LogStanding(leading, term, lastIndex = commitIndex, commitIndex = commitIndex, appliedIndex = appliedIndex)
+    LogStatus(leading, term, lastIndex = commitIndex, commitIndex = commitIndex, appliedIndex = appliedIndex)
--- a/entry/src/main/kotlin/io/carawaytrack/entry/Entry.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/Entry.kt
@@ -17,7 +17,7 @@
 import io.carawaytrack.telemetry.EntryMetrics
 import io.carawaytrack.telemetry.MemoryMetrics
 import io.carawaytrack.telemetry.ObservabilityServer
-import io.carawaytrack.telemetry.watchLease
+import io.carawaytrack.telemetry.registerLeaseGauge
 import io.carawaytrack.wire.LinkHub
 import io.github.oshai.kotlinlogging.KotlinLogging
 import kotlinx.coroutines.CoroutineScope
@@ -63,7 +63,7 @@
 
     suspend fun run(awaitStop: suspend () -> Unit) {
         control.start()
-        watchLease(telemetry.registry, control.lease::remainingMillis)
+        registerLeaseGauge(telemetry.registry, control.lease::remainingMillis)
         val api = api()
         val server = api.start(settings.callerAddress, settings.receiveTimeoutMillis)
         val ready = { control.lease.held && control.configuration.number > 0 && !shuttingDown }
--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/ControlMetrics.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/ControlMetrics.kt
@@ -13,7 +13,7 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry
 
 /** Tells how the replica of a control host stands. */
-public data class LogStanding(
+public data class LogStatus(
     val leading: Boolean = false,
     val term: Long = 0,
     val lastIndex: Long = 0,
@@ -22,7 +22,7 @@
 )
 
 /** Tells how much the ledger holds. */
-public data class LedgerStanding(
+public data class LedgerStatus(
     val openIntents: Long = 0,
     val sessions: Long = 0,
 )
@@ -34,8 +34,8 @@
  * @property upstreams announced upstreams; empty on a host that does not lead
  */
 public data class ControlSources(
-    val log: () -> LogStanding = { LogStanding() },
-    val ledger: () -> LedgerStanding = { LedgerStanding() },
+    val log: () -> LogStatus = { LogStatus() },
+    val ledger: () -> LedgerStatus = { LedgerStatus() },
     val configurationNumber: () -> Long = { 0 },
     val holders: () -> List<HolderStatus> = { emptyList() },
     val upstreams: () -> List<Announcement> = { emptyList() },
@@ -80,7 +80,7 @@
 
 private fun watchLog(
     registry: PrometheusRegistry,
-    log: () -> LogStanding,
+    log: () -> LogStatus,
 ) {
     MetricCatalog.leading.watchGauge(registry) { call(if (log().leading) 1.0 else 0.0) }
     MetricCatalog.term.watchGauge(registry) { call(log().term.toDouble()) }
@@ -91,7 +91,7 @@
 
 private fun watchLedger(
     registry: PrometheusRegistry,
-    ledger: () -> LedgerStanding,
+    ledger: () -> LedgerStatus,
 ) {
     MetricCatalog.openIntents.watchGauge(registry) { call(ledger().openIntents.toDouble()) }
     MetricCatalog.sessions.watchGauge(registry) { call(ledger().sessions.toDouble()) }
--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/EntryMetrics.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/EntryMetrics.kt
@@ -14,7 +14,7 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry
 
 /** Value of a label whose item is not known, such as the organisation of a request without a valid key. */
-public const val UNKNOWN_LABEL: String = "unknown"
+public const val UNKNOWN_LABEL_VALUE: String = "unknown"
 
 /**
  * Describes an ended request.
@@ -121,16 +121,16 @@
     override fun inForce(configuration: Configuration) {
         configurationMetrics.inForce(configuration)
         val tables = configuration.tables
-        group.forget(ORGANISATION_LABEL, tables.organisations.map { it.name.value }.toSet() + UNKNOWN_LABEL)
-        group.forget(ROUTE_LABEL, tables.routes.map { it.name }.toSet() + UNKNOWN_LABEL)
+        group.forget(ORGANISATION_LABEL, tables.organisations.map { it.name.value }.toSet() + UNKNOWN_LABEL_VALUE)
+        group.forget(ROUTE_LABEL, tables.routes.map { it.name }.toSet() + UNKNOWN_LABEL_VALUE)
         group.forget(VERSION_LABEL, versionsOf(configuration))
         group.forget(ROLLOUT_LABEL, configuration.rollouts.map { it.name }.toSet())
         tables.routes.forEach { qualityTarget.of(it.name).set(it.qualityTarget) }
     }
 
     override fun requestEnded(end: RequestEnd) {
-        val route = end.route ?: UNKNOWN_LABEL
-        val organisation = end.organisation?.value ?: UNKNOWN_LABEL
+        val route = end.route ?: UNKNOWN_LABEL_VALUE
+        val organisation = end.organisation?.value ?: UNKNOWN_LABEL_VALUE
         requests.of(organisation, route, labelOf(end.failure), end.execution.name).inc()
         requestSeconds.of(route).observe(end.elapsedNanos.nanosToSeconds())
         if (end.failure == null && end.version != null) answers.of(route, end.version.toString()).inc()
--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/HolderMetrics.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/HolderMetrics.kt
@@ -60,7 +60,7 @@
 }
 
 /** Registers the gauge of the lease, which asks for [remainingMillis] at each scrape; so it also falls when cut off. */
-public fun watchLease(
+public fun registerLeaseGauge(
     registry: PrometheusRegistry,
     remainingMillis: () -> Long,
 ) {
--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/HostMetrics.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/HostMetrics.kt
@@ -16,20 +16,20 @@
 /**
  * Describes what a host believes at a moment.
  *
- * @property silenceMillis longest time since an upstream of the pool was heard
+ * @property lastContactAgeMillis longest time since an upstream of the pool was heard
  */
-public data class HostBeliefs(
+public data class HostStatus(
     val configurationVersion: Long,
     val viewIndex: Long,
     val upstreams: Map<PoolName, Int>,
-    val silenceMillis: Map<PoolName, Long>,
+    val lastContactAgeMillis: Map<PoolName, Long>,
     val peers: Int,
     val leading: Boolean,
     val unfinished: Int,
     val waiting: Int,
 )
 
-/** Records what a host does; [text] reads [HostBeliefs] and renders all metrics. */
+/** Records what a host does; [text] reads [HostStatus] and renders all metrics. */
 public interface HostMetrics {
     /** Counts an ended request; [failure] is null for a complete answer, [firstByteMillis] where none came. */
     public fun requestEnded(
@@ -37,7 +37,7 @@
         route: String,
         failure: ErrorKind?,
         execution: Execution,
-        tookMillis: Long,
+        elapsedMillis: Long,
         firstByteMillis: Long?,
     )
 
@@ -45,7 +45,7 @@
     public fun attemptEnded(
         pool: PoolName,
         version: String,
-        good: Boolean,
+        succeeded: Boolean,
     )
 
     /** Renders all metrics in Prometheus' text format. */
@@ -55,14 +55,14 @@
 /** Registers the metrics of a host, which asks [beliefs] at each scrape. */
 public fun HostMetrics(
     registry: PrometheusRegistry,
-    beliefs: () -> HostBeliefs,
+    beliefs: () -> HostStatus,
 ): HostMetrics = RegisteredHostMetrics(registry, beliefs)
 
 private val writer = PrometheusTextFormatWriter.create()
 
 private class RegisteredHostMetrics(
     private val registry: PrometheusRegistry,
-    private val beliefs: () -> HostBeliefs,
+    private val beliefs: () -> HostStatus,
 ) : HostMetrics {
     private val group = MetricGroup(registry)
     private val requests = group.counter(MetricCatalog.hostRequests)
@@ -77,7 +77,7 @@
             beliefs().upstreams.forEach { (pool, count) -> call(count.toDouble(), pool.value) }
         }
         MetricCatalog.hostSilence.watchGauge(registry) {
-            beliefs().silenceMillis.forEach { (pool, millis) -> call(seconds(millis), pool.value) }
+            beliefs().lastContactAgeMillis.forEach { (pool, millis) -> call(seconds(millis), pool.value) }
         }
         MetricCatalog.hostPeers.watchGauge(registry) { call(beliefs().peers.toDouble()) }
         MetricCatalog.hostLeading.watchGauge(registry) { call(if (beliefs().leading) 1.0 else 0.0) }
@@ -90,19 +90,19 @@
         route: String,
         failure: ErrorKind?,
         execution: Execution,
-        tookMillis: Long,
+        elapsedMillis: Long,
         firstByteMillis: Long?,
     ) {
-        requests.of(organisation?.value ?: UNKNOWN_LABEL, route, labelOf(failure), execution.name).inc()
-        requestSeconds.of(route).observe(seconds(tookMillis))
+        requests.of(organisation?.value ?: UNKNOWN_LABEL_VALUE, route, labelOf(failure), execution.name).inc()
+        requestSeconds.of(route).observe(seconds(elapsedMillis))
         firstByteMillis?.let { firstByteSeconds.of(route).observe(seconds(it)) }
     }
 
     override fun attemptEnded(
         pool: PoolName,
         version: String,
-        good: Boolean,
-    ) = attempts.of(pool.value, version, if (good) "good" else "failed").inc()
+        succeeded: Boolean,
+    ) = attempts.of(pool.value, version, if (succeeded) "good" else "failed").inc()
 
     override fun text(): ByteArray = ByteArrayOutputStream().also { writer.write(it, registry.scrape()) }.toByteArray()
 }
--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/Telemetry.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/Telemetry.kt
@@ -68,12 +68,12 @@
  * Sets which spans are recorded and where they go.
  *
  * @property sampleRatio share of new traces that are recorded, 0 to 1; a trace begun elsewhere keeps its choice
- * @property queueSpans ended spans that may wait to be written; any beyond are dropped and counted
+ * @property maxQueuedSpans ended spans that may wait to be written; any beyond are dropped and counted
  */
 public data class TelemetrySettings(
     val spans: SpanOutput = SpanOutput.None,
     val sampleRatio: Double = 1.0,
-    val queueSpans: Int = 2_048,
+    val maxQueuedSpans: Int = 2_048,
 )
 
 /** Creates the telemetry of the process [node], with its own registry that already holds the process metrics. */
@@ -105,7 +105,7 @@
             .setSpanLimits(spanLimits)
     if (sink != null) {
         val exporter = JsonLineSpanExporter(Origin(node, role, zone), sink)
-        provider.addSpanProcessor(QueueingSpanProcessor(exporter, settings.queueSpans, SpanMetrics(registry)))
+        provider.addSpanProcessor(QueueingSpanProcessor(exporter, settings.maxQueuedSpans, SpanMetrics(registry)))
     }
     return SdkTelemetry(registry, provider.build())
 }
--- a/telemetry/src/test/kotlin/io/carawaytrack/telemetry/MetricsTest.kt
+++ b/telemetry/src/test/kotlin/io/carawaytrack/telemetry/MetricsTest.kt
@@ -166,8 +166,12 @@
                 """caraway_version_state{state="Withdrawn",version="quill@1"} 1.0""",
             ),
         ) { ConfigurationMetrics(it).inForce(configuration(7, setOf("b"), listOf(rollout))) },
-        Case("the lease that remains", listOf("caraway_lease_remaining_seconds 1.5")) { watchLease(it) { 1_500 } },
-        Case("a lease that has run out", listOf("caraway_lease_remaining_seconds 0.0")) { watchLease(it) { -20 } },
+        Case("the lease that remains", listOf("caraway_lease_remaining_seconds 1.5")) {
+            registerLeaseGauge(it) { 1_500 }
+        },
+        Case("a lease that has run out", listOf("caraway_lease_remaining_seconds 0.0")) {
+            registerLeaseGauge(it) { -20 }
+        },
         Case(
             "memory held and slow readers",
             listOf(
@@ -228,7 +232,7 @@
                 """caraway_configuration_changes_total{kind="VersionConflict"} 1.0""",
             ),
         ) {
-            val metrics = ControlMetrics(it, ControlSources(log = { LogStanding(true, 3, 12, 11, 10) }))
+            val metrics = ControlMetrics(it, ControlSources(log = { LogStatus(true, 3, 12, 11, 10) }))
             metrics.synced(entries = 5, elapsedNanos = 2 * MILLISECOND_NANOS)
             metrics.proposed(null, Execution.Ran, MILLISECOND_NANOS)
             metrics.heartbeat(NodeRole.Agent)
@@ -248,7 +252,7 @@
             ControlMetrics(
                 it,
                 ControlSources(
-                    ledger = { LedgerStanding(openIntents = 2, sessions = 9) },
+                    ledger = { LedgerStatus(openIntents = 2, sessions = 9) },
                     configurationNumber = { 5 },
                     holders = {
                         listOf(
@@ -337,11 +341,11 @@
         val pool = PoolName("llm")
         val metrics =
             HostMetrics(registry) {
-                HostBeliefs(
+                HostStatus(
                     configurationVersion = 7,
                     viewIndex = 12,
                     upstreams = mapOf(pool to 3),
-                    silenceMillis = mapOf(pool to 1_500),
+                    lastContactAgeMillis = mapOf(pool to 1_500),
                     peers = 8,
                     leading = true,
                     unfinished = 2,
@@ -349,7 +353,7 @@
                 )
             }
         metrics.requestEnded(null, "drafts", ErrorKind.PoolExhausted, Execution.NotRun, 250, firstByteMillis = null)
-        metrics.attemptEnded(pool, "v1", good = false)
+        metrics.attemptEnded(pool, "v1", succeeded = false)
         val listed = MetricCatalog.sections.filter { NodeRole.Host in it.roles }.flatMap { it.metrics }
         expectThat(registry.scrape().map { it.metadata.name })
             .containsExactlyInAnyOrder(listed.map { it.name.removeSuffix("_total") })
@@ -368,7 +372,7 @@
             else -> ControlMetrics(registry)
         }
         if (role != NodeRole.Control) {
-            watchLease(registry) { 0 }
+            registerLeaseGauge(registry) { 0 }
             MemoryMetrics(registry, budgetBytes = 0) { 0 }
         }
         val names = mutableSetOf<String>()
--- a/telemetry/src/test/kotlin/io/carawaytrack/telemetry/TelemetryTest.kt
+++ b/telemetry/src/test/kotlin/io/carawaytrack/telemetry/TelemetryTest.kt
@@ -123,7 +123,7 @@
         val stuck = CountDownLatch(1)
         val goOn = CountDownLatch(1)
         val telemetry =
-            telemetry(TelemetrySettings(queueSpans = 2)) {
+            telemetry(TelemetrySettings(maxQueuedSpans = 2)) {
                 stuck.countDown()
                 goOn.await()
                 lines += it
