--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/AgentMetrics.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/AgentMetrics.kt
@@ -1,5 +1,5 @@
 /*
- * What an agent reports: admission to its upstream, and how the attempts that passed it went.
+ * Metrics of an agent: admission to its upstream, and the outcome and latency of admitted attempts.
  */
 package io.carawaytrack.telemetry
 
@@ -18,12 +18,12 @@
     val elapsedNanos: Long,
 )
 
-/** Records what an agent does. */
+/** Records the events of an agent. */
 public interface AgentMetrics {
-    /** Takes in the configuration that is in force. */
+    /** Updates the metrics to [configuration], which is now in force, and removes stale series. */
     public fun inForce(configuration: Configuration)
 
-    /** Counts an attempt that was refused before the upstream saw it. */
+    /** Counts an attempt that was refused before it reached the upstream. */
     public fun refused(kind: ErrorKind)
 
     /** Records the time to the first byte of the upstream's answer. */
@@ -32,24 +32,24 @@
         elapsedNanos: Long,
     )
 
-    /** Counts an ended attempt and its latency. */
+    /** Counts an ended attempt and records its latency. */
     public fun attemptEnded(end: UpstreamAttemptEnd)
 
-    /** Counts a return to slow start. */
+    /** Counts a restart of admission from slow start. */
     public fun slowStarted()
 
-    /** Counts a request that was put into quarantine. */
+    /** Counts a quarantined request. */
     public fun quarantined()
 }
 
-/** Registers the metrics of an agent; asks for the [load] at each scrape. */
+/** Registers the metrics of an agent; calls [load] at each scrape. */
 public fun AgentMetrics(
     registry: PrometheusRegistry,
     load: () -> UpstreamLoad,
 ): AgentMetrics {
-    MetricCatalog.permits.watchGauge(registry) { call(load().permits.toDouble()) }
-    MetricCatalog.running.watchGauge(registry) { call(load().running.toDouble()) }
-    MetricCatalog.queuedTokens.watchGauge(registry) { call(load().queuedTokens.toDouble()) }
+    MetricCatalog.permits.callbackGauge(registry) { call(load().permits.toDouble()) }
+    MetricCatalog.running.callbackGauge(registry) { call(load().running.toDouble()) }
+    MetricCatalog.queuedTokens.callbackGauge(registry) { call(load().queuedTokens.toDouble()) }
     return RegisteredAgentMetrics(registry)
 }
 
@@ -67,7 +67,7 @@
 
     override fun inForce(configuration: Configuration) {
         configurationMetrics.inForce(configuration)
-        group.forget(VERSION_LABEL, versionsOf(configuration))
+        group.removeStale(VERSION_LABEL, versionsOf(configuration))
     }
 
     override fun refused(kind: ErrorKind) = refusals.of(kind.name).inc()
@@ -79,7 +79,7 @@
 
     override fun attemptEnded(end: UpstreamAttemptEnd) {
         val version = end.version.toString()
-        attempts.of(version, labelOf(end.failure), end.execution.name).inc()
+        attempts.of(version, kindLabelValue(end.failure), end.execution.name).inc()
         attemptSeconds.of(version).observe(end.elapsedNanos.nanosToSeconds())
     }
 
--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/ControlMetrics.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/ControlMetrics.kt
@@ -1,6 +1,6 @@
 /*
- * What a control host reports: the replicated log, the holders of its configuration, the announced upstreams and the
- * ledger. What stands at the moment of a scrape is asked for then; what happens is counted.
+ * Metrics of a control host: the replicated log, the holders of its configuration, the announced upstreams and the
+ * ledger. Gauges read the current state at each scrape; events are counted as they occur.
  */
 package io.carawaytrack.telemetry
 
@@ -12,7 +12,7 @@
 import io.carawaytrack.model.NodeRole
 import io.prometheus.metrics.model.registry.PrometheusRegistry
 
-/** Tells how the replica of a control host stands. */
+/** Describes the state of a control host's replica of the log. */
 public data class LogStatus(
     val leading: Boolean = false,
     val term: Long = 0,
@@ -21,14 +21,14 @@
     val appliedIndex: Long = 0,
 )
 
-/** Tells how much the ledger holds. */
+/** Describes the number of items in the ledger. */
 public data class LedgerStatus(
     val openIntents: Long = 0,
     val sessions: Long = 0,
 )
 
 /**
- * Supplies what a control host shows at each scrape.
+ * Supplies the state that a control host reports at each scrape.
  *
  * @property holders processes that have reported a configuration; empty on a host that does not lead
  * @property upstreams announced upstreams; empty on a host that does not lead
@@ -41,18 +41,18 @@
     val upstreams: () -> List<Announcement> = { emptyList() },
 )
 
-/** Records what a control host does. */
+/** Records the events of a control host. */
 public interface ControlMetrics {
-    /** Takes in the configuration that is in force. */
+    /** Updates the metrics to [configuration], which is now in force. */
     public fun inForce(configuration: Configuration)
 
-    /** Records one sync of the log that made [entries] durable. */
+    /** Records a sync of the log that made [entries] durable. */
     public fun synced(
         entries: Int,
         elapsedNanos: Long,
     )
 
-    /** Counts a proposed command and the time to its reply; [failure] is null when it was committed. */
+    /** Counts a proposed command and records the time to its reply; [failure] is null if it was committed. */
     public fun proposed(
         failure: ErrorKind?,
         execution: Execution,
@@ -62,7 +62,7 @@
     /** Counts a heartbeat from a process of [role]. */
     public fun heartbeat(role: NodeRole)
 
-    /** Counts a change that an operator asked for; [failure] is null when it was accepted. */
+    /** Counts a configuration change requested by an operator; [failure] is null if it was accepted. */
     public fun changeEnded(failure: ErrorKind?)
 }
 
@@ -71,52 +71,52 @@
     registry: PrometheusRegistry,
     sources: ControlSources = ControlSources(),
 ): ControlMetrics {
-    watchLog(registry, sources.log)
-    watchLedger(registry, sources.ledger)
-    watchHolders(registry, sources)
-    watchUpstreams(registry, sources.upstreams)
+    registerLogGauges(registry, sources.log)
+    registerLedgerGauges(registry, sources.ledger)
+    registerHolderGauge(registry, sources)
+    registerUpstreamGauge(registry, sources.upstreams)
     return RegisteredControlMetrics(registry)
 }
 
-private fun watchLog(
+private fun registerLogGauges(
     registry: PrometheusRegistry,
     log: () -> LogStatus,
 ) {
-    MetricCatalog.leading.watchGauge(registry) { call(if (log().leading) 1.0 else 0.0) }
-    MetricCatalog.term.watchGauge(registry) { call(log().term.toDouble()) }
-    MetricCatalog.lastIndex.watchGauge(registry) { call(log().lastIndex.toDouble()) }
-    MetricCatalog.commitIndex.watchGauge(registry) { call(log().commitIndex.toDouble()) }
-    MetricCatalog.appliedIndex.watchGauge(registry) { call(log().appliedIndex.toDouble()) }
+    MetricCatalog.leading.callbackGauge(registry) { call(if (log().leading) 1.0 else 0.0) }
+    MetricCatalog.term.callbackGauge(registry) { call(log().term.toDouble()) }
+    MetricCatalog.lastIndex.callbackGauge(registry) { call(log().lastIndex.toDouble()) }
+    MetricCatalog.commitIndex.callbackGauge(registry) { call(log().commitIndex.toDouble()) }
+    MetricCatalog.appliedIndex.callbackGauge(registry) { call(log().appliedIndex.toDouble()) }
 }
 
-private fun watchLedger(
+private fun registerLedgerGauges(
     registry: PrometheusRegistry,
     ledger: () -> LedgerStatus,
 ) {
-    MetricCatalog.openIntents.watchGauge(registry) { call(ledger().openIntents.toDouble()) }
-    MetricCatalog.sessions.watchGauge(registry) { call(ledger().sessions.toDouble()) }
+    MetricCatalog.openIntents.callbackGauge(registry) { call(ledger().openIntents.toDouble()) }
+    MetricCatalog.sessions.callbackGauge(registry) { call(ledger().sessions.toDouble()) }
 }
 
-private fun watchHolders(
+private fun registerHolderGauge(
     registry: PrometheusRegistry,
     sources: ControlSources,
-) = MetricCatalog.holders.watchGauge(registry) {
-    val number = sources.configurationNumber()
+) = MetricCatalog.holders.callbackGauge(registry) {
+    val currentNumber = sources.configurationNumber()
     sources
         .holders()
-        .groupingBy { listOf(it.role.name, if (it.configurationNumber < number) "behind" else "current") }
+        .groupingBy { listOf(it.role.name, if (it.configurationNumber < currentNumber) "behind" else "current") }
         .eachCount()
-        .forEach { (labels, count) -> tell(count.toDouble(), labels) }
+        .forEach { (labelValues, count) -> report(count.toDouble(), labelValues) }
 }
 
-private fun watchUpstreams(
+private fun registerUpstreamGauge(
     registry: PrometheusRegistry,
     upstreams: () -> List<Announcement>,
-) = MetricCatalog.upstreams.watchGauge(registry) {
+) = MetricCatalog.upstreams.callbackGauge(registry) {
     upstreams()
         .groupingBy { listOf(it.zone.value, if (it.leaving) "leaving" else "serving") }
         .eachCount()
-        .forEach { (labels, count) -> tell(count.toDouble(), labels) }
+        .forEach { (labelValues, count) -> report(count.toDouble(), labelValues) }
 }
 
 private class RegisteredControlMetrics(
@@ -145,11 +145,11 @@
         execution: Execution,
         elapsedNanos: Long,
     ) {
-        proposals.labelValues(labelOf(failure), execution.name).inc()
+        proposals.labelValues(kindLabelValue(failure), execution.name).inc()
         proposalSeconds.observe(elapsedNanos.nanosToSeconds())
     }
 
     override fun heartbeat(role: NodeRole) = heartbeats.labelValues(role.name).inc()
 
-    override fun changeEnded(failure: ErrorKind?) = changes.labelValues(labelOf(failure)).inc()
+    override fun changeEnded(failure: ErrorKind?) = changes.labelValues(kindLabelValue(failure)).inc()
 }
--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/EntryMetrics.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/EntryMetrics.kt
@@ -1,6 +1,6 @@
 /*
- * What an entry reports: requests, latency, cost at the quality target, exposure to versions on trial, and the
- * attempts by availability zone.
+ * Metrics of an entry: requests, latency, cost at the quality target, exposure to versions in a roll-out, and attempts
+ * by availability zone.
  */
 package io.carawaytrack.telemetry
 
@@ -13,15 +13,15 @@
 import io.carawaytrack.model.ZoneName
 import io.prometheus.metrics.model.registry.PrometheusRegistry
 
-/** Value of a label whose item is not known, such as the organisation of a request without a valid key. */
+/** Label value for an unknown item, such as the organisation of a request without a valid key. */
 public const val UNKNOWN_LABEL_VALUE: String = "unknown"
 
 /**
  * Describes an ended request.
  *
  * @property organisation null when the key was missing or unknown
- * @property route null when no route took the request
- * @property version whose answer was given, null when none was
+ * @property route null when no route matched the request
+ * @property version that produced the answer, null without an answer
  * @property failure null for a complete answer
  */
 public data class RequestEnd(
@@ -41,12 +41,12 @@
     val execution: Execution,
 )
 
-/** Records what an entry does. */
+/** Records the events of an entry. */
 public interface EntryMetrics {
-    /** Takes in the configuration that is in force, and forgets the series of what it no longer names. */
+    /** Updates the metrics to [configuration], which is now in force, and removes stale series. */
     public fun inForce(configuration: Configuration)
 
-    /** Counts an ended request and its whole latency. */
+    /** Counts an ended request and records its total latency. */
     public fun requestEnded(end: RequestEnd)
 
     /** Records the time to the first byte of an answer. */
@@ -61,22 +61,21 @@
         elapsedNanos: Long,
     )
 
-    /** Counts an attempt that is sent out. */
+    /** Counts an attempt that was sent to an availability zone. */
     public fun attemptStarted(
         version: ModelVersion,
         zone: ZoneName,
     )
 
-    /** Counts an ended attempt. */
     public fun attemptEnded(end: AttemptEnd)
 
-    /** Counts what a request was billed. */
+    /** Counts the cost and tokens of a bill. */
     public fun billed(
         route: String,
         bill: Bill,
     )
 
-    /** Counts an answer of a cascade that was not taken because its rating was too low. */
+    /** Counts an answer of a cascade that was rejected because its rating was too low. */
     public fun escalated(
         route: String,
         version: ModelVersion,
@@ -89,7 +88,7 @@
         rating: Double,
     )
 
-    /** Counts a request that the roll-out [rollout] sent to the version on trial. */
+    /** Counts a request that the roll-out [rollout] sent to its new version. */
     public fun exposed(
         rollout: String,
         version: ModelVersion,
@@ -121,17 +120,17 @@
     override fun inForce(configuration: Configuration) {
         configurationMetrics.inForce(configuration)
         val tables = configuration.tables
-        group.forget(ORGANISATION_LABEL, tables.organisations.map { it.name.value }.toSet() + UNKNOWN_LABEL_VALUE)
-        group.forget(ROUTE_LABEL, tables.routes.map { it.name }.toSet() + UNKNOWN_LABEL_VALUE)
-        group.forget(VERSION_LABEL, versionsOf(configuration))
-        group.forget(ROLLOUT_LABEL, configuration.rollouts.map { it.name }.toSet())
+        group.removeStale(ORGANISATION_LABEL, tables.organisations.map { it.name.value }.toSet() + UNKNOWN_LABEL_VALUE)
+        group.removeStale(ROUTE_LABEL, tables.routes.map { it.name }.toSet() + UNKNOWN_LABEL_VALUE)
+        group.removeStale(VERSION_LABEL, versionsOf(configuration))
+        group.removeStale(ROLLOUT_LABEL, configuration.rollouts.map { it.name }.toSet())
         tables.routes.forEach { qualityTarget.of(it.name).set(it.qualityTarget) }
     }
 
     override fun requestEnded(end: RequestEnd) {
         val route = end.route ?: UNKNOWN_LABEL_VALUE
         val organisation = end.organisation?.value ?: UNKNOWN_LABEL_VALUE
-        requests.of(organisation, route, labelOf(end.failure), end.execution.name).inc()
+        requests.of(organisation, route, kindLabelValue(end.failure), end.execution.name).inc()
         requestSeconds.of(route).observe(end.elapsedNanos.nanosToSeconds())
         if (end.failure == null && end.version != null) answers.of(route, end.version.toString()).inc()
     }
@@ -152,7 +151,7 @@
     ) = attemptsStarted.of(version.toString(), zone.value).inc()
 
     override fun attemptEnded(end: AttemptEnd) = attempts
-        .of(end.version.toString(), end.zone.value, labelOf(end.failure), end.execution.name)
+        .of(end.version.toString(), end.zone.value, kindLabelValue(end.failure), end.execution.name)
         .inc()
 
     override fun billed(
--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/HolderMetrics.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/HolderMetrics.kt
@@ -1,5 +1,5 @@
 /*
- * Metrics that several roles share: the configuration in force, the lease, and the memory held for slow readers.
+ * Metrics shared by several roles: the configuration in force, the lease, and the memory held for slow readers.
  */
 package io.carawaytrack.telemetry
 
@@ -9,9 +9,9 @@
 import io.prometheus.metrics.core.metrics.Gauge
 import io.prometheus.metrics.model.registry.PrometheusRegistry
 
-/** Shows which configuration a process holds. */
+/** Reports the configuration of a process. */
 public interface ConfigurationMetrics {
-    /** Takes in the configuration that is in force from now on. */
+    /** Updates the metrics to [configuration], which is now in force. */
     public fun inForce(configuration: Configuration)
 }
 
@@ -30,66 +30,66 @@
     override fun inForce(configuration: Configuration) {
         number.set(configuration.number.toDouble())
         zoneOut.replace(configuration.zonesOut.associate { listOf(it.value) to 1.0 })
-        rolloutPercent.replace(percentages(configuration))
-        versionState.replace(states(configuration))
+        rolloutPercent.replace(percentByRollout(configuration))
+        versionState.replace(stateByVersion(configuration))
     }
 
-    private fun percentages(configuration: Configuration) = configuration.rollouts.associate {
+    private fun percentByRollout(configuration: Configuration) = configuration.rollouts.associate {
         listOf(it.name, it.to.toString(), it.phase.name) to it.percent.toDouble()
     }
 
-    private fun states(configuration: Configuration): Map<List<String>, Double> {
-        val serving = versionsOf(configuration).associateWith { VersionState.Serving }
-        return (serving + configuration.versionStates).entries.associate { (version, state) ->
+    private fun stateByVersion(configuration: Configuration): Map<List<String>, Double> {
+        val servingByDefault = versionsOf(configuration).associateWith { VersionState.Serving }
+        return (servingByDefault + configuration.versionStates).entries.associate { (version, state) ->
             listOf(version, state.name) to 1.0
         }
     }
 }
 
-/** Returns the versions that the pools of [configuration] name. */
+/** Returns the versions of all pool members in [configuration]. */
 internal fun versionsOf(configuration: Configuration): Set<String> = configuration.tables.pools
     .flatMap { it.members }
     .map { it.version.toString() }
     .toSet()
 
-/** Sets exactly the series of [values] and removes all others. */
+/** Sets the series in [values] and removes all others. */
 private fun Gauge.replace(values: Map<List<String>, Double>) {
-    val find: (Array<String>) -> GaugeDataPoint = ::labelValues
-    values.forEach { (labels, value) -> find(labels.toTypedArray()).set(value) }
+    val findDataPoint: (Array<String>) -> GaugeDataPoint = ::labelValues
+    values.forEach { (labelValues, value) -> findDataPoint(labelValues.toTypedArray()).set(value) }
     removeIf { it !in values }
 }
 
-/** Registers the gauge of the lease, which asks for [remainingMillis] at each scrape; so it also falls when cut off. */
+/** Registers the lease gauge; calls [remainingMillis] at each scrape, so the value also falls without a connection. */
 public fun registerLeaseGauge(
     registry: PrometheusRegistry,
     remainingMillis: () -> Long,
 ) {
-    MetricCatalog.leaseRemaining.watchGauge(registry) {
+    MetricCatalog.leaseRemaining.callbackGauge(registry) {
         call(remainingMillis().coerceAtLeast(0) / MILLIS_PER_SECOND)
     }
 }
 
 private const val MILLIS_PER_SECOND = 1e3
 
-/** Shows the memory held for requests and answers, and what is done about readers that are too slow. */
+/** Reports the memory held for requests and answers, and the measures taken against slow readers. */
 public interface MemoryMetrics {
-    /** Counts a pause of an upstream because its reader is slow. */
+    /** Counts a pause of an upstream whose reader is slow. */
     public fun readerPaused()
 
-    /** Notes that a paused upstream sends again, or that its stream is over. */
+    /** Decrements the number of paused upstreams when one resumes or its stream ends. */
     public fun readerResumed()
 
     /** Counts a stream that was ended to free memory. */
     public fun readerEnded()
 }
 
-/** Registers the metrics of memory held; asks [heldBytes] at each scrape. */
+/** Registers the metrics of held memory; calls [heldBytes] at each scrape. */
 public fun MemoryMetrics(
     registry: PrometheusRegistry,
     budgetBytes: Long,
     heldBytes: () -> Long,
 ): MemoryMetrics {
-    MetricCatalog.heldBytes.watchGauge(registry) { call(heldBytes().toDouble()) }
+    MetricCatalog.heldBytes.callbackGauge(registry) { call(heldBytes().toDouble()) }
     MetricCatalog.heldBudget.gauge(registry).set(budgetBytes.toDouble())
     return RegisteredMemoryMetrics(registry)
 }
--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/HostMetrics.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/HostMetrics.kt
@@ -1,6 +1,6 @@
 /*
- * What a host on the platform reports: its requests and attempts as they end, and at each scrape what it believes of
- * its fleet.
+ * Metrics of a host on the platform: counts and latencies of ended requests and attempts, and gauges that read the
+ * host's view of upstreams and peers at each scrape.
  */
 package io.carawaytrack.telemetry
 
@@ -14,9 +14,10 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * Describes what a host believes at a moment.
+ * Describes a host's current view of its configuration, upstreams and peers, and its load. Other hosts may have a
+ * different view.
  *
- * @property lastContactAgeMillis longest time since an upstream of the pool was heard
+ * @property lastContactAgeMillis longest time, by pool, since an upstream last reported directly or through other hosts
  */
 public data class HostStatus(
     val configurationVersion: Long,
@@ -29,9 +30,9 @@
     val waiting: Int,
 )
 
-/** Records what a host does; [text] reads [HostStatus] and renders all metrics. */
+/** Records the requests and attempts of a host; [text] reads the current [HostStatus] and renders all metrics. */
 public interface HostMetrics {
-    /** Counts an ended request; [failure] is null for a complete answer, [firstByteMillis] where none came. */
+    /** Counts an ended request; [failure] is null for a complete answer, [firstByteMillis] if no byte was sent. */
     public fun requestEnded(
         organisation: OrganisationName?,
         route: String,
@@ -48,21 +49,21 @@
         succeeded: Boolean,
     )
 
-    /** Renders all metrics in Prometheus' text format. */
+    /** Renders all metrics in the Prometheus text format. */
     public fun text(): ByteArray
 }
 
-/** Registers the metrics of a host, which asks [beliefs] at each scrape. */
+/** Registers the metrics of a host; calls [status] at each scrape. */
 public fun HostMetrics(
     registry: PrometheusRegistry,
-    beliefs: () -> HostStatus,
-): HostMetrics = RegisteredHostMetrics(registry, beliefs)
+    status: () -> HostStatus,
+): HostMetrics = RegisteredHostMetrics(registry, status)
 
 private val writer = PrometheusTextFormatWriter.create()
 
 private class RegisteredHostMetrics(
     private val registry: PrometheusRegistry,
-    private val beliefs: () -> HostStatus,
+    private val status: () -> HostStatus,
 ) : HostMetrics {
     private val group = MetricGroup(registry)
     private val requests = group.counter(MetricCatalog.hostRequests)
@@ -71,18 +72,18 @@
     private val attempts = group.counter(MetricCatalog.hostAttempts)
 
     init {
-        MetricCatalog.hostConfiguration.watchGauge(registry) { call(beliefs().configurationVersion.toDouble()) }
-        MetricCatalog.hostViewIndex.watchGauge(registry) { call(beliefs().viewIndex.toDouble()) }
-        MetricCatalog.hostUpstreams.watchGauge(registry) {
-            beliefs().upstreams.forEach { (pool, count) -> call(count.toDouble(), pool.value) }
+        MetricCatalog.hostConfiguration.callbackGauge(registry) { call(status().configurationVersion.toDouble()) }
+        MetricCatalog.hostViewIndex.callbackGauge(registry) { call(status().viewIndex.toDouble()) }
+        MetricCatalog.hostUpstreams.callbackGauge(registry) {
+            status().upstreams.forEach { (pool, count) -> call(count.toDouble(), pool.value) }
         }
-        MetricCatalog.hostSilence.watchGauge(registry) {
-            beliefs().lastContactAgeMillis.forEach { (pool, millis) -> call(seconds(millis), pool.value) }
+        MetricCatalog.hostLastContactAge.callbackGauge(registry) {
+            status().lastContactAgeMillis.forEach { (pool, millis) -> call(millisToSeconds(millis), pool.value) }
         }
-        MetricCatalog.hostPeers.watchGauge(registry) { call(beliefs().peers.toDouble()) }
-        MetricCatalog.hostLeading.watchGauge(registry) { call(if (beliefs().leading) 1.0 else 0.0) }
-        MetricCatalog.hostUnfinished.watchGauge(registry) { call(beliefs().unfinished.toDouble()) }
-        MetricCatalog.hostWaiting.watchGauge(registry) { call(beliefs().waiting.toDouble()) }
+        MetricCatalog.hostPeers.callbackGauge(registry) { call(status().peers.toDouble()) }
+        MetricCatalog.hostLeading.callbackGauge(registry) { call(if (status().leading) 1.0 else 0.0) }
+        MetricCatalog.hostUnfinished.callbackGauge(registry) { call(status().unfinished.toDouble()) }
+        MetricCatalog.hostWaiting.callbackGauge(registry) { call(status().waiting.toDouble()) }
     }
 
     override fun requestEnded(
@@ -93,9 +94,9 @@
         elapsedMillis: Long,
         firstByteMillis: Long?,
     ) {
-        requests.of(organisation?.value ?: UNKNOWN_LABEL_VALUE, route, labelOf(failure), execution.name).inc()
-        requestSeconds.of(route).observe(seconds(elapsedMillis))
-        firstByteMillis?.let { firstByteSeconds.of(route).observe(seconds(it)) }
+        requests.of(organisation?.value ?: UNKNOWN_LABEL_VALUE, route, kindLabelValue(failure), execution.name).inc()
+        requestSeconds.of(route).observe(millisToSeconds(elapsedMillis))
+        firstByteMillis?.let { firstByteSeconds.of(route).observe(millisToSeconds(it)) }
     }
 
     override fun attemptEnded(
@@ -107,4 +108,4 @@
     override fun text(): ByteArray = ByteArrayOutputStream().also { writer.write(it, registry.scrape()) }.toByteArray()
 }
 
-private fun seconds(millis: Long): Double = millis.toDouble() / TimeUnit.SECONDS.toMillis(1)
+private fun millisToSeconds(millis: Long): Double = millis.toDouble() / TimeUnit.SECONDS.toMillis(1)
--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/Instruments.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/Instruments.kt
@@ -1,5 +1,5 @@
 /*
- * From a metric definition to the instrument that records it, and the bound on how many series a metric may have.
+ * Creates Prometheus instruments from metric definitions and bounds the number of time series per metric.
  */
 package io.carawaytrack.telemetry
 
@@ -19,20 +19,20 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry
 import java.util.concurrent.ConcurrentHashMap
 
-/** Value of the label `kind` where nothing failed. */
-internal const val NO_FAILURE = "none"
+/** Value of the label `kind` for a success. */
+internal const val NO_FAILURE_LABEL_VALUE = "none"
 
-/** Value that stands for all values of a label beyond its limit. */
-internal const val OTHER_LABEL = "other"
+/** Replaces all label values beyond the limit. */
+internal const val OTHER_LABEL_VALUE = "other"
 
-/** Distinct values that a label may have in one group of metrics. */
-internal const val DISTINCT_VALUES_LIMIT = 200
+/** Maximum number of distinct values of a label in one [MetricGroup]. */
+internal const val DISTINCT_LABEL_VALUES_LIMIT = 200
 
 private const val NANOS_PER_SECOND = 1e9
 
 internal fun Long.nanosToSeconds(): Double = this / NANOS_PER_SECOND
 
-internal fun labelOf(kind: ErrorKind?): String = kind?.name ?: NO_FAILURE
+internal fun kindLabelValue(kind: ErrorKind?): String = kind?.name ?: NO_FAILURE_LABEL_VALUE
 
 internal fun MetricDefinition.counter(registry: PrometheusRegistry): Counter =
     Counter.builder().describedBy(this).register(registry)
@@ -45,13 +45,13 @@
 
 internal fun MetricDefinition.histogram(registry: PrometheusRegistry): Histogram {
     val builder = Histogram.builder().describedBy(this).classicOnly()
-    // A reference passes an array on as it is, where a spread would copy it.
-    val bounded: (DoubleArray) -> Histogram.Builder = builder::classicUpperBounds
-    return bounded(upperBounds.toDoubleArray()).register(registry)
+    // A function reference passes the array without the copy that a spread operator makes.
+    val setUpperBounds: (DoubleArray) -> Histogram.Builder = builder::classicUpperBounds
+    return setUpperBounds(upperBounds.toDoubleArray()).register(registry)
 }
 
-/** Registers a gauge that asks [read] at each scrape. */
-internal fun MetricDefinition.watchGauge(
+/** Registers a gauge that calls [read] at each scrape. */
+internal fun MetricDefinition.callbackGauge(
     registry: PrometheusRegistry,
     read: GaugeWithCallback.Callback.() -> Unit,
 ) {
@@ -62,17 +62,17 @@
         .register(registry)
 }
 
-/** Tells the value of the series with [labels]. */
-internal fun GaugeWithCallback.Callback.tell(
+/** Reports [value] for the series with [labelValues]. */
+internal fun GaugeWithCallback.Callback.report(
     value: Double,
-    labels: List<String>,
+    labelValues: List<String>,
 ) {
-    val tell: (Double, Array<String>) -> Unit = this::call
-    tell(value, labels.toTypedArray())
+    val callWithArray: (Double, Array<String>) -> Unit = this::call
+    callWithArray(value, labelValues.toTypedArray())
 }
 
-/** Registers a counter that asks [read] at each scrape. */
-internal fun MetricDefinition.watchCounter(
+/** Registers a counter that calls [read] at each scrape. */
+internal fun MetricDefinition.callbackCounter(
     registry: PrometheusRegistry,
     read: CounterWithCallback.Callback.() -> Unit,
 ) {
@@ -84,16 +84,16 @@
 }
 
 private fun <B : MetricWithFixedMetadata.Builder<B, *>> B.describedBy(definition: MetricDefinition): B {
-    val labelled: (Array<String>) -> B = name(definition.name).help(definition.help)::labelNames
-    return labelled(definition.labels.toTypedArray())
+    val setLabelNames: (Array<String>) -> B = name(definition.name).help(definition.help)::labelNames
+    return setLabelNames(definition.labels.toTypedArray())
 }
 
-/** Creates metrics whose labels take values from outside, each label with a bounded number of them. */
+/** Creates metrics whose label values come from outside the process, with a bounded number of values per label. */
 internal class MetricGroup(
     private val registry: PrometheusRegistry,
-    private val limit: Int = DISTINCT_VALUES_LIMIT,
+    private val valuesLimit: Int = DISTINCT_LABEL_VALUES_LIMIT,
 ) {
-    private val known = ConcurrentHashMap<String, MutableSet<String>>()
+    private val valuesByLabel = ConcurrentHashMap<String, MutableSet<String>>()
     private val metrics = mutableListOf<Pair<MetricDefinition, StatefulMetric<*, *>>>()
 
     fun counter(definition: MetricDefinition): Series<CounterDataPoint> =
@@ -107,17 +107,17 @@
     fun summary(definition: MetricDefinition): Series<DistributionDataPoint> =
         series(definition, definition.summary(registry))
 
-    /** Removes the series whose [label] has a value outside [kept], once half of the values allowed are in use. */
-    fun forget(
+    /** Removes the series whose [label] value is not in [retained], once more than half of the limit is in use. */
+    fun removeStale(
         label: String,
-        kept: Set<String>,
+        retained: Set<String>,
     ) {
-        val values = known[label] ?: return
-        if (values.size * 2 <= limit) return
-        values.retainAll(kept)
+        val values = valuesByLabel[label] ?: return
+        if (values.size * 2 <= valuesLimit) return
+        values.retainAll(retained)
         metrics.forEach { (definition, metric) ->
-            val at = definition.labels.indexOf(label)
-            if (at >= 0) metric.removeIf { it[at] !in kept && it[at] != OTHER_LABEL }
+            val index = definition.labels.indexOf(label)
+            if (index >= 0) metric.removeIf { it[index] !in retained && it[index] != OTHER_LABEL_VALUE }
         }
     }
 
@@ -126,31 +126,31 @@
         metric: StatefulMetric<D, *>,
     ): Series<D> {
         metrics += definition to metric
-        val find: (Array<String>) -> D = metric::labelValues
-        return Series { values -> find(bounded(definition, values)) }
+        val findDataPoint: (Array<String>) -> D = metric::labelValues
+        return Series { values -> findDataPoint(boundedValues(definition, values)) }
     }
 
-    private fun bounded(
+    private fun boundedValues(
         definition: MetricDefinition,
         values: Array<out String>,
-    ) = Array(values.size) { at -> bounded(definition.labels[at], values[at]) }
+    ) = Array(values.size) { index -> boundedValue(definition.labels[index], values[index]) }
 
-    private fun bounded(
+    private fun boundedValue(
         label: String,
         value: String,
     ): String {
-        val values = known.computeIfAbsent(label) { ConcurrentHashMap.newKeySet() }
+        val values = valuesByLabel.computeIfAbsent(label) { ConcurrentHashMap.newKeySet() }
         return when {
             value in values -> value
-            values.size >= limit -> OTHER_LABEL
+            values.size >= valuesLimit -> OTHER_LABEL_VALUE
             else -> value.also(values::add)
         }
     }
 }
 
-/** Finds the series of one metric by its label values. */
+/** Returns the data points of one metric by their label values. */
 internal class Series<D : DataPoint>(
-    private val find: (Array<out String>) -> D,
+    private val findDataPoint: (Array<out String>) -> D,
 ) {
-    fun of(vararg values: String): D = find(values)
+    fun of(vararg values: String): D = findDataPoint(values)
 }
--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/MetricCatalog.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/MetricCatalog.kt
@@ -1,20 +1,20 @@
 /*
- * The one list of metric definitions. Every metric of the system is created from an entry of this list, and the
- * reference page of the metrics is kept equal to it.
+ * The single list of metric definitions. Every metric of the system is created from a definition in this list, and a
+ * test keeps the reference page of the metrics equal to it.
  */
 package io.carawaytrack.telemetry
 
 import io.carawaytrack.model.NodeRole
 
-/** Tells how a metric behaves. */
+/** Describes the Prometheus type of a metric. */
 public enum class MetricType {
-    /** Rises only; restarts at 0 with the process. */
+    /** Only increases; resets to 0 when the process restarts. */
     Counter,
 
-    /** Rises and falls. */
+    /** Increases and decreases. */
     Gauge,
 
-    /** Counts observations by fixed upper bounds. */
+    /** Counts observations in buckets with fixed upper bounds. */
     Histogram,
 
     /** Holds the count and the sum of observations. */
@@ -24,8 +24,8 @@
 /**
  * Defines a metric.
  *
- * @property name as Prometheus shows it, with the unit as suffix
- * @property upperBounds bounds of a histogram's buckets, in the unit of the name
+ * @property name as exposed to Prometheus, with the unit as suffix
+ * @property upperBounds upper bounds of a histogram's buckets, in the unit of the name
  */
 public data class MetricDefinition(
     val name: String,
@@ -53,18 +53,18 @@
 
 /** Lists every metric of the system. */
 public object MetricCatalog {
-    private val requestBounds =
+    private val requestBoundsSeconds =
         listOf(0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 20.0, 30.0, 60.0, 120.0)
 
-    /** Close to the first-token target of 0.78 s, so that the share of answers within it is exact. */
-    private val firstByteBounds =
+    /** Finer near the first-token target of 0.78 s, itself a bound, so that the share of answers within it is exact. */
+    private val firstByteBoundsSeconds =
         listOf(0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.45, 0.6, 0.78, 1.0, 1.5, 2.5, 5.0, 10.0, 30.0)
 
-    /** Close to the target of 32 ms between tokens, so that the share of gaps within it is exact. */
-    private val chunkGapBounds =
+    /** Finer near the target of 32 ms between tokens, itself a bound, so that the share of gaps within it is exact. */
+    private val chunkGapBoundsSeconds =
         listOf(0.001, 0.002, 0.004, 0.008, 0.016, 0.024, 0.032, 0.04, 0.05, 0.064, 0.1, 0.25, 0.5, 1.0, 5.0)
 
-    private val syncBounds =
+    private val syncBoundsSeconds =
         listOf(0.0001, 0.00025, 0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0)
 
     internal val requests =
@@ -79,11 +79,21 @@
     internal val answers =
         counter("caraway_answers_total", "Complete answers by the version that gave them.", ROUTE_LABEL, VERSION_LABEL)
     internal val requestSeconds =
-        histogram("caraway_request_seconds", "Time from request to the end of its answer.", requestBounds, ROUTE_LABEL)
+        histogram(
+            "caraway_request_seconds",
+            "Time from request to the end of its answer.",
+            requestBoundsSeconds,
+            ROUTE_LABEL,
+        )
     internal val firstByteSeconds =
-        histogram("caraway_first_byte_seconds", "Time to the first byte of an answer.", firstByteBounds, ROUTE_LABEL)
+        histogram(
+            "caraway_first_byte_seconds",
+            "Time to the first byte of an answer.",
+            firstByteBoundsSeconds,
+            ROUTE_LABEL,
+        )
     internal val chunkGapSeconds =
-        histogram("caraway_chunk_gap_seconds", "Time between parts of an answer.", chunkGapBounds, ROUTE_LABEL)
+        histogram("caraway_chunk_gap_seconds", "Time between parts of an answer.", chunkGapBoundsSeconds, ROUTE_LABEL)
     internal val attemptsStarted =
         counter(
             "caraway_attempts_started_total",
@@ -156,14 +166,14 @@
         histogram(
             "caraway_agent_attempt_seconds",
             "Time the upstream took for an attempt.",
-            requestBounds,
+            requestBoundsSeconds,
             VERSION_LABEL,
         )
     internal val agentFirstByteSeconds =
         histogram(
             "caraway_agent_first_byte_seconds",
             "Time to the first byte of the upstream.",
-            firstByteBounds,
+            firstByteBoundsSeconds,
             VERSION_LABEL,
         )
     internal val slowStarts =
@@ -175,12 +185,12 @@
     internal val lastIndex = gauge("caraway_log_last_index", "Index of the last entry held.")
     internal val commitIndex = gauge("caraway_log_commit_index", "Index up to which a quorum holds the log.")
     internal val appliedIndex = gauge("caraway_log_applied_index", "Index up to which commands are applied.")
-    internal val syncSeconds = histogram("caraway_log_sync_seconds", "Time of one sync of the log.", syncBounds)
+    internal val syncSeconds = histogram("caraway_log_sync_seconds", "Time of one sync of the log.", syncBoundsSeconds)
     internal val syncedEntries = counter("caraway_log_synced_entries_total", "Log entries made durable.")
     internal val proposals =
         counter("caraway_proposals_total", "Commands proposed, by outcome.", KIND_LABEL, EXECUTION_LABEL)
     internal val proposalSeconds =
-        histogram("caraway_proposal_seconds", "Time from a proposal to its reply.", syncBounds)
+        histogram("caraway_proposal_seconds", "Time from a proposal to its reply.", syncBoundsSeconds)
     internal val heartbeats = counter("caraway_heartbeats_total", "Heartbeats received.", "role")
     internal val changes =
         counter(
@@ -217,16 +227,16 @@
             EXECUTION_LABEL,
         )
     internal val hostRequestSeconds =
-        histogram("caraway_host_request_seconds", "Time from request to the end.", requestBounds, ROUTE_LABEL)
+        histogram("caraway_host_request_seconds", "Time from request to the end.", requestBoundsSeconds, ROUTE_LABEL)
     internal val hostFirstByteSeconds =
-        histogram("caraway_host_first_byte_seconds", "Time to the first byte.", firstByteBounds, ROUTE_LABEL)
+        histogram("caraway_host_first_byte_seconds", "Time to the first byte.", firstByteBoundsSeconds, ROUTE_LABEL)
     internal val hostAttempts =
         counter("caraway_host_attempts_total", "Ended attempts of a host.", "pool", VERSION_LABEL, "outcome")
     internal val hostConfiguration =
         gauge("caraway_host_configuration_version", "Version of the operator's document in force on a host.")
     internal val hostViewIndex = gauge("caraway_host_view_index", "Log index of the agreed state that a host knows.")
     internal val hostUpstreams = gauge("caraway_host_upstreams", "Upstreams that a host knows, by pool.", "pool")
-    internal val hostSilence =
+    internal val hostLastContactAge =
         gauge(
             "caraway_host_upstream_silence_seconds",
             "Longest silence of an upstream that a host knows, by pool.",
@@ -237,7 +247,7 @@
     internal val hostUnfinished = gauge("caraway_host_unfinished_requests", "Requests that are being served.")
     internal val hostWaiting = gauge("caraway_host_waiting_requests", "Requests that wait for an upstream with room.")
 
-    /** All metrics, by what they are for. */
+    /** All metrics, grouped by purpose. */
     public val sections: List<MetricSection> =
         listOf(
             MetricSection(
@@ -312,7 +322,7 @@
                     hostConfiguration,
                     hostViewIndex,
                     hostUpstreams,
-                    hostSilence,
+                    hostLastContactAge,
                     hostPeers,
                     hostLeading,
                     hostUnfinished,
--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/ProcessMetrics.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/ProcessMetrics.kt
@@ -1,6 +1,6 @@
 /*
- * Metrics of the process and its Java virtual machine, read at each scrape, under the names that Prometheus clients
- * customarily use for them.
+ * Metrics of the process and its Java virtual machine, read at each scrape. Their names follow the convention of the
+ * Prometheus client libraries.
  */
 package io.carawaytrack.telemetry
 
@@ -12,23 +12,22 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** Registers the metrics of this process. */
 internal fun registerProcessMetrics(registry: PrometheusRegistry) {
     registerProcess(registry)
     registerMemory(registry)
     registerThreads(registry)
-    registerCollectors(registry)
+    registerGarbageCollectors(registry)
 }
 
 private const val MILLIS_PER_SECOND = 1e3
 private const val BYTES_PER_KIBIBYTE = 1_024L
-private val processStatus = Path.of("/proc/self/status")
+private val processStatusFile = Path.of("/proc/self/status")
 
 private fun registerProcess(registry: PrometheusRegistry) {
     val runtime = ManagementFactory.getRuntimeMXBean()
     MetricCatalog.startSeconds.gauge(registry).set(runtime.startTime / MILLIS_PER_SECOND)
-    MetricCatalog.residentBytes.watchGauge(registry) { call(residentBytes().toDouble()) }
-    MetricCatalog.cpuSeconds.watchCounter(registry) { call(cpuNanos().nanosToSeconds()) }
+    MetricCatalog.residentBytes.callbackGauge(registry) { call(residentBytes().toDouble()) }
+    MetricCatalog.cpuSeconds.callbackCounter(registry) { call(cpuNanos().nanosToSeconds()) }
 }
 
 private fun cpuNanos(): Long {
@@ -36,9 +35,9 @@
     return (system as? com.sun.management.OperatingSystemMXBean)?.processCpuTime?.coerceAtLeast(0) ?: 0
 }
 
-/** Returns the resident memory as the kernel tells it, or 0 where it does not. */
+/** Returns the resident memory as reported by the kernel, or 0 where the kernel does not report it. */
 private fun residentBytes(): Long = try {
-    Files.readAllLines(processStatus).firstNotNullOfOrNull(::residentKibibytes)?.times(BYTES_PER_KIBIBYTE) ?: 0
+    Files.readAllLines(processStatusFile).firstNotNullOfOrNull(::residentKibibytes)?.times(BYTES_PER_KIBIBYTE) ?: 0
 } catch (_: IOException) {
     0
 }
@@ -49,40 +48,40 @@
 }
 
 private fun registerMemory(registry: PrometheusRegistry) {
-    MetricCatalog.memoryUsed.watchGauge(registry) {
-        memory().forEach { (area, usage) ->
+    MetricCatalog.memoryUsed.callbackGauge(registry) {
+        memoryUsageByArea().forEach { (area, usage) ->
             call(usage.used.toDouble(), area)
         }
     }
-    MetricCatalog.memoryCommitted.watchGauge(registry) {
-        memory().forEach { (area, usage) -> call(usage.committed.toDouble(), area) }
+    MetricCatalog.memoryCommitted.callbackGauge(registry) {
+        memoryUsageByArea().forEach { (area, usage) -> call(usage.committed.toDouble(), area) }
     }
-    MetricCatalog.memoryMax.watchGauge(registry) {
-        memory().forEach { (area, usage) ->
+    MetricCatalog.memoryMax.callbackGauge(registry) {
+        memoryUsageByArea().forEach { (area, usage) ->
             call(usage.max.toDouble(), area)
         }
     }
     val pools = ManagementFactory.getPlatformMXBeans(BufferPoolMXBean::class.java)
-    MetricCatalog.bufferBytes.watchGauge(registry) { pools.forEach { call(it.memoryUsed.toDouble(), it.name) } }
+    MetricCatalog.bufferBytes.callbackGauge(registry) { pools.forEach { call(it.memoryUsed.toDouble(), it.name) } }
 }
 
-private fun memory(): Map<String, MemoryUsage> {
+private fun memoryUsageByArea(): Map<String, MemoryUsage> {
     val memory = ManagementFactory.getMemoryMXBean()
     return mapOf("heap" to memory.heapMemoryUsage, "nonheap" to memory.nonHeapMemoryUsage)
 }
 
 private fun registerThreads(registry: PrometheusRegistry) {
     val threads = ManagementFactory.getThreadMXBean()
-    MetricCatalog.threads.watchGauge(registry) { call(threads.threadCount.toDouble()) }
-    MetricCatalog.threadsDaemon.watchGauge(registry) { call(threads.daemonThreadCount.toDouble()) }
+    MetricCatalog.threads.callbackGauge(registry) { call(threads.threadCount.toDouble()) }
+    MetricCatalog.threadsDaemon.callbackGauge(registry) { call(threads.daemonThreadCount.toDouble()) }
 }
 
-private fun registerCollectors(registry: PrometheusRegistry) {
+private fun registerGarbageCollectors(registry: PrometheusRegistry) {
     val collectors = ManagementFactory.getGarbageCollectorMXBeans()
-    MetricCatalog.gcSeconds.watchCounter(registry) {
+    MetricCatalog.gcSeconds.callbackCounter(registry) {
         collectors.forEach { call(it.collectionTime / MILLIS_PER_SECOND, it.name) }
     }
-    MetricCatalog.gcCollections.watchCounter(registry) {
+    MetricCatalog.gcCollections.callbackCounter(registry) {
         collectors.forEach { call(it.collectionCount.toDouble(), it.name) }
     }
 }
