--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/SpanExport.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/SpanExport.kt
@@ -1,6 +1,6 @@
 /*
- * The way of an ended span to its line of JSON. Ending a span only puts it into a bounded queue; one background thread
- * writes the lines, so a slow disk costs spans, which are counted, and never delays a request.
+ * Export of ended spans as lines of JSON. Ending a span only adds it to a bounded queue, and one background thread
+ * writes the lines: a slow disk causes spans to be dropped and counted, but never delays a request.
  */
 package io.carawaytrack.telemetry
 
@@ -29,14 +29,14 @@
 import java.util.concurrent.ThreadPoolExecutor
 import java.util.concurrent.TimeUnit
 
-/** Names the process that spans and logs come from. */
+/** Identifies the process that emits spans and logs. */
 internal data class Origin(
     val node: NodeId,
     val role: NodeRole,
     val zone: ZoneName,
 )
 
-/** Holds what one line of JSON tells of a span. */
+/** Describes a span as it is written to one line of JSON. */
 @Serializable
 internal data class SpanLine(
     val traceId: String,
@@ -58,7 +58,7 @@
     private val sink: (String) -> Unit,
 ) : SpanExporter {
     override fun export(spans: Collection<SpanData>): CompletableResultCode = try {
-        spans.forEach { sink(Json.encodeToString(lineOf(it))) }
+        spans.forEach { sink(Json.encodeToString(spanLine(it))) }
         CompletableResultCode.ofSuccess()
     } catch (failure: IOException) {
         CompletableResultCode.ofExceptionalFailure(failure)
@@ -73,7 +73,7 @@
         CompletableResultCode.ofExceptionalFailure(failure)
     }
 
-    private fun lineOf(span: SpanData) = SpanLine(
+    private fun spanLine(span: SpanData) = SpanLine(
         traceId = span.traceId,
         spanId = span.spanId,
         parentSpanId = span.parentSpanId.takeIf { span.parentSpanContext.isValid },
@@ -92,18 +92,18 @@
     )
 }
 
-/** Hands ended spans to [exporter] from one background thread, over a queue of [capacity] spans. */
+/** Passes ended spans to [exporter] on one background thread, through a queue of [capacity] spans. */
 internal class QueueingSpanProcessor(
     private val exporter: SpanExporter,
     capacity: Int,
     private val metrics: SpanMetrics,
 ) : SpanProcessor {
-    private val threads = ThreadFactory { task -> Thread(task, "span-writer").apply { isDaemon = true } }
-    private val onFullQueue = RejectedExecutionHandler { _, _ -> metrics.dropped() }
+    private val threadFactory = ThreadFactory { task -> Thread(task, "span-writer").apply { isDaemon = true } }
+    private val countAsDropped = RejectedExecutionHandler { _, _ -> metrics.dropped() }
     private val writer =
-        ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, ArrayBlockingQueue(capacity), threads, onFullQueue)
+        ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, ArrayBlockingQueue(capacity), threadFactory, countAsDropped)
 
-    private var failing = false
+    private var exportFailing = false
 
     override fun onStart(
         parentContext: Context,
@@ -121,19 +121,19 @@
     override fun shutdown(): CompletableResultCode {
         writer.shutdown()
         val written = writer.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS)
-        if (!written) log.warn { "spans not written: expected an empty queue within $CLOSE_TIMEOUT_SECONDS s" }
+        if (!written) log.warn { "span queue not empty after $CLOSE_TIMEOUT_SECONDS s; remaining spans may be lost" }
         return exporter.shutdown()
     }
 
     private fun write(span: SpanData) {
         val result = exporter.export(listOf(span))
         if (result.isSuccess) metrics.written() else metrics.dropped()
-        if (result.isSuccess == failing) tellChange(result.failureThrowable)
-        failing = !result.isSuccess
+        if (result.isSuccess == exportFailing) logTransition(result.failureThrowable)
+        exportFailing = !result.isSuccess
     }
 
-    private fun tellChange(failure: Throwable?) {
-        if (failure == null) log.info { "spans are written again" } else log.warn(failure) { "spans cannot be written" }
+    private fun logTransition(failure: Throwable?) {
+        if (failure == null) log.info { "span export recovered" } else log.warn(failure) { "span export failed" }
     }
 
     private companion object {
@@ -142,7 +142,7 @@
     }
 }
 
-/** Appends lines to the file at [path], which is opened with the first line; it may be rotated by copy and truncate. */
+/** Appends lines to the file at [path], opened on the first write; log rotation may copy and truncate the file. */
 internal class LineFile(
     private val path: Path,
 ) : (String) -> Unit,
@@ -161,13 +161,13 @@
     private fun open(): OutputStream = Files.newOutputStream(path, StandardOpenOption.CREATE, StandardOpenOption.APPEND)
 }
 
-/** Returns a sink that passes each line to the logger `spans`. */
-internal fun spanLog(): (String) -> Unit {
+/** Returns a sink that writes each line to the logger `spans`. */
+internal fun spanLogSink(): (String) -> Unit {
     val log = KotlinLogging.logger("spans")
     return { line -> log.info { line } }
 }
 
-/** Counts spans by what became of them. */
+/** Counts ended spans by outcome: written or dropped. */
 internal class SpanMetrics(
     registry: PrometheusRegistry,
 ) {
--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/Telemetry.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/Telemetry.kt
@@ -1,7 +1,7 @@
 /*
- * What a process tells about itself: Prometheus metrics, a span for each hop of a request, JSON-line logs, and the
- * port on which an operator's tools ask for health and metrics. This file holds the metrics registry and the spans;
- * spans are made by the OpenTelemetry SDK and joined across processes by the W3C `traceparent` header.
+ * Observability of a process: Prometheus metrics, a span for each hop of a request, JSON-line logs, and the port that
+ * serves health checks and metrics. This file holds the metrics registry and the spans. Spans are created by the
+ * OpenTelemetry SDK and linked across processes by the W3C `traceparent` header.
  */
 package io.carawaytrack.telemetry
 
@@ -22,9 +22,9 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry
 import java.nio.file.Path
 
-/** Gives access to the metrics and spans of one process. */
+/** Provides the metrics registry and the spans of one process. */
 public interface Telemetry : AutoCloseable {
-    /** Registry that the metrics endpoint shows. */
+    /** Registry that the metrics endpoint exposes. */
     public val registry: PrometheusRegistry
 
     /** Starts the span of one hop as a child of the W3C [traceparent], or as the root of a new trace. */
@@ -40,22 +40,21 @@
     /** Value of the `traceparent` header for the next hop. */
     public val traceparent: String
 
-    /** Adds an attribute. */
     public fun attribute(
         name: String,
         value: String,
     )
 
-    /** Marks the hop as failed. */
+    /** Sets the span status to error, with [kind] as the `error.type` attribute. */
     public fun fail(kind: ErrorKind)
 }
 
-/** Says where ended spans go. */
+/** Selects the destination of ended spans. */
 public sealed interface SpanOutput {
-    /** Writes none; `traceparent` is still passed on. */
+    /** Writes no spans; `traceparent` is still propagated. */
     public data object None : SpanOutput
 
-    /** Writes each span as a message of the logger `spans`. */
+    /** Writes each span to the logger `spans`. */
     public data object Log : SpanOutput
 
     /** Appends each span as one line of JSON to the file at [path]. */
@@ -65,10 +64,11 @@
 }
 
 /**
- * Sets which spans are recorded and where they go.
+ * Configures which spans are recorded and where they are written.
  *
- * @property sampleRatio share of new traces that are recorded, 0 to 1; a trace begun elsewhere keeps its choice
- * @property maxQueuedSpans ended spans that may wait to be written; any beyond are dropped and counted
+ * @property sampleRatio share of new traces that are recorded, 0 to 1; a trace started by another process keeps its
+ * sampling decision
+ * @property maxQueuedSpans maximum number of ended spans that wait to be written; further spans are dropped and counted
  */
 public data class TelemetrySettings(
     val spans: SpanOutput = SpanOutput.None,
@@ -76,19 +76,19 @@
     val maxQueuedSpans: Int = 2_048,
 )
 
-/** Creates the telemetry of the process [node], with its own registry that already holds the process metrics. */
+/** Creates the telemetry of the process [node], with a registry of its own that includes the process metrics. */
 public fun Telemetry(
     node: NodeId,
     role: NodeRole,
     zone: ZoneName,
     settings: TelemetrySettings = TelemetrySettings(),
-): Telemetry = when (val spans = settings.spans) {
+): Telemetry = when (val output = settings.spans) {
     SpanOutput.None -> Telemetry(node, role, zone, settings, sink = null)
-    SpanOutput.Log -> Telemetry(node, role, zone, settings, sink = spanLog())
-    is SpanOutput.JsonLines -> Telemetry(node, role, zone, settings, sink = LineFile(spans.path))
+    SpanOutput.Log -> Telemetry(node, role, zone, settings, sink = spanLogSink())
+    is SpanOutput.JsonLines -> Telemetry(node, role, zone, settings, sink = LineFile(output.path))
 }
 
-/** Creates telemetry that hands each span as a line of JSON to [sink], from one background thread; null writes none. */
+/** Creates telemetry that writes each span as a line of JSON to [sink] on one background thread; null writes none. */
 public fun Telemetry(
     node: NodeId,
     role: NodeRole,
@@ -110,31 +110,31 @@
     return SdkTelemetry(registry, provider.build())
 }
 
-private const val ATTRIBUTES_PER_SPAN = 32
-private const val ATTRIBUTE_CHARACTERS = 1_024
-private const val TRACEPARENT = "traceparent"
-private const val SCOPE = "io.carawaytrack"
-private val errorType = AttributeKey.stringKey("error.type")
+private const val MAX_ATTRIBUTES_PER_SPAN = 32
+private const val MAX_ATTRIBUTE_VALUE_CHARACTERS = 1_024
+private const val TRACEPARENT_HEADER = "traceparent"
+private const val INSTRUMENTATION_SCOPE = "io.carawaytrack"
+private val errorTypeKey = AttributeKey.stringKey("error.type")
 
 private val spanLimits =
     SpanLimits
         .builder()
-        .setMaxNumberOfAttributes(ATTRIBUTES_PER_SPAN)
-        .setMaxAttributeValueLength(ATTRIBUTE_CHARACTERS)
+        .setMaxNumberOfAttributes(MAX_ATTRIBUTES_PER_SPAN)
+        .setMaxAttributeValueLength(MAX_ATTRIBUTE_VALUE_CHARACTERS)
         .build()
 
 private class SdkTelemetry(
     override val registry: PrometheusRegistry,
     private val provider: SdkTracerProvider,
 ) : Telemetry {
-    private val tracer = provider.get(SCOPE)
+    private val tracer = provider.get(INSTRUMENTATION_SCOPE)
 
     override fun span(
         name: String,
         traceparent: String?,
         attributes: Map<String, String>,
     ): HopSpan {
-        val builder = tracer.spanBuilder(name).setParent(parentOf(traceparent))
+        val builder = tracer.spanBuilder(name).setParent(parentContext(traceparent))
         attributes.forEach { (key, value) -> builder.setAttribute(key, value) }
         return SdkHopSpan(builder.startSpan())
     }
@@ -155,19 +155,19 @@
     }
 
     override fun fail(kind: ErrorKind) {
-        span.setStatus(StatusCode.ERROR, kind.explanation).setAttribute(errorType, kind.name)
+        span.setStatus(StatusCode.ERROR, kind.explanation).setAttribute(errorTypeKey, kind.name)
     }
 
     override fun close() = span.end()
 }
 
-/** Returns the context of a [traceparent], or the root context when it is missing or malformed. */
-private fun parentOf(traceparent: String?): Context =
+/** Returns the context of [traceparent], or the root context when it is missing or malformed. */
+private fun parentContext(traceparent: String?): Context =
     W3CTraceContextPropagator.getInstance().extract(Context.root(), traceparent, TraceparentGetter)
 
 private fun renderTraceparent(span: Span): String {
     var rendered = ""
-    val setter = TextMapSetter<Unit> { _, name, value -> if (name == TRACEPARENT) rendered = value }
+    val setter = TextMapSetter<Unit> { _, name, value -> if (name == TRACEPARENT_HEADER) rendered = value }
     W3CTraceContextPropagator.getInstance().inject(Context.root().with(span), Unit, setter)
     return rendered
 }
@@ -176,5 +176,5 @@
     override fun get(
         carrier: String?,
         key: String,
-    ): String? = carrier.takeIf { key == TRACEPARENT }
+    ): String? = carrier.takeIf { key == TRACEPARENT_HEADER }
 }
