--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/JsonLine.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/JsonLine.kt
@@ -1,6 +1,6 @@
 /*
- * One event of the log as a line of JSON. A process that was killed is back the sooner the less it loads before its
- * first line, so the line is built from what is loaded anyway.
+ * Formats a log event as one line of JSON. A restarted process is available sooner when it loads fewer classes before
+ * its first log line, so the line is built with classes that the process loads in any case.
  */
 package io.carawaytrack.telemetry
 
@@ -13,7 +13,7 @@
 import kotlinx.serialization.json.JsonPrimitive
 import kotlin.time.Instant
 
-/** Returns [event] as an object of one line; the fields of the event come after those that every line has. */
+/** Returns [event] as a JSON object on one line; event-specific fields follow the standard log fields. */
 internal fun jsonLine(
     event: ILoggingEvent,
     origin: Origin,
@@ -25,7 +25,7 @@
     fields["thread"] = JsonPrimitive(event.threadName)
     fields["level"] = JsonPrimitive(event.level.levelStr)
     event.mdcPropertyMap.forEach { (name, value) -> fields[name] = JsonPrimitive(value) }
-    event.keyValuePairs?.forEach { fields[it.key] = jsonOf(it.value) }
+    event.keyValuePairs?.forEach { fields[it.key] = jsonElement(it.value) }
     event.throwableProxy?.let { fields["stackTrace"] = JsonPrimitive(ThrowableProxyUtil.asString(it)) }
     fields["node"] = JsonPrimitive(origin.node.value)
     fields["role"] = JsonPrimitive(origin.role.name)
@@ -34,15 +34,15 @@
 }
 
 private fun timestampOf(event: ILoggingEvent): String {
-    val at = event.instant ?: return Instant.fromEpochMilliseconds(event.timeStamp).toString()
-    return Instant.fromEpochSeconds(at.epochSecond, at.nano).toString()
+    val instant = event.instant ?: return Instant.fromEpochMilliseconds(event.timeStamp).toString()
+    return Instant.fromEpochSeconds(instant.epochSecond, instant.nano).toString()
 }
 
-private fun jsonOf(value: Any?): JsonElement = when (value) {
+private fun jsonElement(value: Any?): JsonElement = when (value) {
     null -> JsonNull
     is Number -> JsonPrimitive(value)
     is Boolean -> JsonPrimitive(value)
-    is Iterable<*> -> JsonArray(value.map(::jsonOf))
-    is Map<*, *> -> JsonObject(value.entries.associate { (name, element) -> name.toString() to jsonOf(element) })
+    is Iterable<*> -> JsonArray(value.map(::jsonElement))
+    is Map<*, *> -> JsonObject(value.entries.associate { (name, element) -> name.toString() to jsonElement(element) })
     else -> JsonPrimitive(value.toString())
 }
--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/JsonLogs.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/JsonLogs.kt
@@ -1,6 +1,7 @@
 /*
- * Logs as one object of JSON a line. Lines pass through a bounded queue, so that a full pipe behind stderr costs lines
- * and never delays a request. The request id is given with each call, because a coroutine moves between threads.
+ * Logs with one JSON object per line. Lines pass through a bounded queue: when the pipe behind stderr is full, lines
+ * are dropped and no request is delayed. Each call passes the request id explicitly, because a coroutine moves between
+ * threads and a thread-bound diagnostic context would not follow it.
  */
 package io.carawaytrack.telemetry
 
@@ -19,8 +20,8 @@
 import ch.qos.logback.classic.Level as LogbackLevel
 
 /**
- * Sends all logs of the process from [level] on to [sink] as lines of JSON, in place of what was installed before.
- * Closing the returned handle writes what is still queued.
+ * Writes all logs of the process at [level] or above to [sink] as lines of JSON, replacing any installed appenders.
+ * Closing the returned handle writes the lines that are still queued.
  */
 public fun installJsonLogs(
     node: NodeId,
@@ -30,12 +31,12 @@
     sink: (String) -> Unit = System.err::println,
 ): AutoCloseable {
     val context = LoggerFactory.getILoggerFactory() as LoggerContext
-    val lines = LineAppender(Origin(node, role, zone), sink)
-    val queue = queue(context, lines)
+    val lineAppender = LineAppender(Origin(node, role, zone), sink)
+    val asyncAppender = startAsyncAppender(context, lineAppender)
     val root = context.getLogger(Logger.ROOT_LOGGER_NAME)
     root.detachAndStopAllAppenders()
     root.level = LogbackLevel.toLevel(level.name)
-    root.addAppender(queue)
+    root.addAppender(asyncAppender)
     return AutoCloseable { root.detachAndStopAllAppenders() }
 }
 
@@ -61,8 +62,8 @@
 ): Unit = log(Level.ERROR, request, cause, message)
 
 /**
- * Logs that [event] happened, with [fields] as fields of the line; those without a value are left out. The names of
- * events are stable: docs/OPERATIONS.md lists them.
+ * Logs [event] with [fields] as fields of the line; fields with a null value are omitted. Event names are stable and
+ * listed in docs/OPERATIONS.md.
  */
 public fun KLogger.event(
     event: String,
@@ -81,27 +82,27 @@
 ) = at(level) {
     this.cause = cause
     message = text()
-    payload = mapOf(REQUEST_ID to request.value)
+    payload = mapOf(REQUEST_ID_FIELD to request.value)
 }
 
-private const val REQUEST_ID = "requestId"
-private const val QUEUED_LINES = 4_096
+private const val REQUEST_ID_FIELD = "requestId"
+private const val MAX_QUEUED_LINES = 4_096
 private const val CLOSE_TIMEOUT_MILLIS = 5_000
 
-private fun queue(
+private fun startAsyncAppender(
     context: LoggerContext,
-    lines: LineAppender,
+    lineAppender: LineAppender,
 ): AsyncAppender {
-    lines.context = context
-    lines.start()
-    val queue = AsyncAppender()
-    queue.context = context
-    queue.queueSize = QUEUED_LINES
-    queue.maxFlushTime = CLOSE_TIMEOUT_MILLIS
-    queue.isNeverBlock = true
-    queue.addAppender(lines)
-    queue.start()
-    return queue
+    lineAppender.context = context
+    lineAppender.start()
+    val asyncAppender = AsyncAppender()
+    asyncAppender.context = context
+    asyncAppender.queueSize = MAX_QUEUED_LINES
+    asyncAppender.maxFlushTime = CLOSE_TIMEOUT_MILLIS
+    asyncAppender.isNeverBlock = true
+    asyncAppender.addAppender(lineAppender)
+    asyncAppender.start()
+    return asyncAppender
 }
 
 private class LineAppender(
--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/NoDefaultConfigurator.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/NoDefaultConfigurator.kt
@@ -1,6 +1,6 @@
 /*
- * Keeps logback from setting up its own default output, which `installJsonLogs` would only take down again: every start
- * of a process would pay for it. Logs written before that call are dropped.
+ * Prevents Logback from installing its default configuration, which `installJsonLogs` would remove again and which
+ * would slow down every process start. Logs written before that call are dropped.
  */
 package io.carawaytrack.telemetry
 
@@ -8,7 +8,7 @@
 import ch.qos.logback.classic.spi.Configurator
 import ch.qos.logback.core.spi.ContextAwareBase
 
-/** Leaves the context as it is; found by logback as a service. */
+/** Leaves the context unconfigured; Logback loads this class as a service. */
 public class NoDefaultConfigurator :
     ContextAwareBase(),
     Configurator {
--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/PlainLogback.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/PlainLogback.kt
@@ -1,7 +1,7 @@
 /*
- * Logback without its search for a configuration: installJsonLogs sets it up in any case, and looking into every jar of
- * the class path for another one takes a good part of a short start. A program uses it by the system property
- * `slf4j.provider` with the name of this class.
+ * Logback without its search for a configuration. `installJsonLogs` configures Logback in any case, and searching every
+ * jar on the class path for a configuration takes a considerable part of a short start-up. A program selects this
+ * provider by setting the system property `slf4j.provider` to the name of the class.
  */
 package io.carawaytrack.telemetry
 
@@ -10,28 +10,28 @@
 import org.slf4j.helpers.BasicMarkerFactory
 import org.slf4j.spi.SLF4JServiceProvider
 
-/** Provides Logback to SLF4J as it is before any configuration. */
+/** Provides an unconfigured Logback context to SLF4J. */
 public class PlainLogback : SLF4JServiceProvider {
     private val context = LoggerContext()
     private val markers = BasicMarkerFactory()
-    private val diagnostics = LogbackMDCAdapter()
+    private val mdcAdapter = LogbackMDCAdapter()
 
     override fun getLoggerFactory(): LoggerContext = context
 
     override fun getMarkerFactory(): BasicMarkerFactory = markers
 
-    override fun getMDCAdapter(): LogbackMDCAdapter = diagnostics
+    override fun getMDCAdapter(): LogbackMDCAdapter = mdcAdapter
 
-    override fun getRequestedApiVersion(): String = API_VERSION
+    override fun getRequestedApiVersion(): String = SLF4J_API_VERSION
 
     override fun initialize() {
         context.name = "default"
-        context.mdcAdapter = diagnostics
+        context.mdcAdapter = mdcAdapter
         context.start()
     }
 
     private companion object {
-        /** Version of SLF4J's interface that Logback 1.5 is made for. */
-        const val API_VERSION = "2.0.99"
+        /** SLF4J API version that Logback 1.5 supports. */
+        const val SLF4J_API_VERSION = "2.0.99"
     }
 }
