--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/ObservabilityServer.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/ObservabilityServer.kt
@@ -1,5 +1,5 @@
 /*
- * The port on which a supervisor, the platform's balancer and Prometheus ask: alive, ready for work, metrics.
+ * HTTP server for liveness, readiness and metrics. A supervisor, the platform's load balancer and Prometheus query it.
  */
 package io.carawaytrack.telemetry
 
@@ -24,26 +24,27 @@
 import java.io.ByteArrayOutputStream
 import java.io.IOException
 
-/** Answers `/healthz`, `/readyz` and `/metrics` until it is closed. */
+/** Serves `/healthz`, `/readyz` and `/metrics` until it is closed. */
 public interface ObservabilityServer : AutoCloseable {
-    /** Port that is listened on; differs from the one asked for only when that was 0. */
+    /** Bound port; differs from the requested port only when that was 0. */
     public val port: Int
 }
 
 /**
- * Listens on [address]. `/healthz` answers 200 while the process runs, `/readyz` 200 or 503 as [ready] says, and
- * `/metrics` shows [registry] in the Prometheus text format. Throws `IOException` when the address cannot be bound.
+ * Listens on [address]. `/healthz` returns 200 while the process runs, `/readyz` returns 200 while [ready] is true and
+ * 503 otherwise, and `/metrics` returns [registry] in the Prometheus text format. Throws `IOException` when the address
+ * cannot be bound.
  */
 public fun ObservabilityServer(
     address: HostPort,
     registry: PrometheusRegistry,
     ready: () -> Boolean,
 ): ObservabilityServer {
-    // The engine's own hook would close the port at the signal, before the graceful shutdown has ended.
+    // Ktor's shutdown hook would close the port on the termination signal, before the graceful shutdown completes.
     System.setProperty("io.ktor.server.engine.ShutdownHook", "false")
-    val onFailure = CoroutineExceptionHandler { _, failure -> log.warn(failure) { "serving $address failed" } }
-    val server = CoroutineScope(onFailure).embeddedServer(CIO, address.port, address.host) { observe(registry, ready) }
-    return KtorObservabilityServer(server, port = startOn(address, server))
+    val onFailure = CoroutineExceptionHandler { _, failure -> log.warn(failure) { "HTTP server on $address failed" } }
+    val server = CoroutineScope(onFailure).embeddedServer(CIO, address.port, address.host) { routes(registry, ready) }
+    return KtorObservabilityServer(server, port = startAndReturnPort(address, server))
 }
 
 private const val STOP_GRACE_MILLIS = 100L
@@ -51,7 +52,7 @@
 private val log = KotlinLogging.logger {}
 private val metricsWriter = PrometheusTextFormatWriter.create()
 
-private fun startOn(
+private fun startAndReturnPort(
     address: HostPort,
     server: EmbeddedServer<*, *>,
 ): Int = try {
@@ -59,13 +60,13 @@
     val connectors = runBlocking { server.engine.resolvedConnectors() }
     connectors.first().port
 } catch (failure: IOException) {
-    throw cannotListen(address, server, failure)
+    throw bindFailure(address, server, failure)
 } catch (failure: CancellationException) {
-    // The engine may report a failed bind as a cancellation, which a coroutine would take for its own.
-    throw cannotListen(address, server, failure)
+    // The engine may report a failed bind as a cancellation, which a calling coroutine would treat as its own.
+    throw bindFailure(address, server, failure)
 }
 
-private fun cannotListen(
+private fun bindFailure(
     address: HostPort,
     server: EmbeddedServer<*, *>,
     failure: Exception,
@@ -82,7 +83,7 @@
     override fun close() = server.stop(STOP_GRACE_MILLIS, STOP_TIMEOUT_MILLIS)
 }
 
-private fun Application.observe(
+private fun Application.routes(
     registry: PrometheusRegistry,
     ready: () -> Boolean,
 ) {
@@ -96,12 +97,12 @@
             }
         }
         get("/metrics") {
-            call.respondBytes(textOf(registry), ContentType.parse(metricsWriter.contentType))
+            call.respondBytes(renderMetrics(registry), ContentType.parse(metricsWriter.contentType))
         }
     }
 }
 
-private fun textOf(registry: PrometheusRegistry): ByteArray {
+private fun renderMetrics(registry: PrometheusRegistry): ByteArray {
     val text = ByteArrayOutputStream()
     metricsWriter.write(text, registry.scrape())
     return text.toByteArray()
