--- a/telemetry/src/test/kotlin/io/carawaytrack/telemetry/JsonLogsTest.kt
+++ b/telemetry/src/test/kotlin/io/carawaytrack/telemetry/JsonLogsTest.kt
@@ -1,5 +1,6 @@
 /*
- * Log lines as a collector reads them: one object a line, whatever the message holds.
+ * Guards against log lines that a collector cannot parse: each event must be one JSON object on one line, also when its
+ * message contains line breaks or quotes.
  */
 package io.carawaytrack.telemetry
 
@@ -71,7 +72,7 @@
         )
 
     @TestFactory
-    fun `one line of JSON holds`(): List<DynamicTest> = cases.map { case ->
+    fun `one line of JSON is written for`(): List<DynamicTest> = cases.map { case ->
         DynamicTest.dynamicTest(case.name) {
             val line = linesOf(act = case.act).single()
             val fields = line.toJson()
@@ -84,27 +85,27 @@
     }
 
     @Test
-    fun `a cause is written with its stack`() {
+    fun `a cause is written with its stack trace`() {
         val line = linesOf { it.error(RequestId("r"), IllegalStateException("broken")) { "failed" } }.single()
         expectThat(line.toJson().text("stackTrace")).contains("IllegalStateException: broken")
     }
 
     @Test
-    fun `messages below the level are left out`() {
+    fun `messages below the level are omitted`() {
         expectThat(linesOf(Level.WARN) { it.info { "quiet" } }).isEmpty()
     }
 
     @Test
-    fun `a stuck sink costs lines and does not hold up the caller`() {
-        val goOn = CountDownLatch(1)
+    fun `a blocked sink drops lines and does not block the caller`() {
+        val unblockSink = CountDownLatch(1)
         val lines = CopyOnWriteArrayList<String>()
         val logs =
             installJsonLogs(NodeId("entry-1"), NodeRole.Entry, ZoneName("a")) {
-                goOn.await()
+                unblockSink.await()
                 lines += it
             }
         repeat(10_000) { log.info { "line" } }
-        goOn.countDown()
+        unblockSink.countDown()
         logs.close()
         expectThat(lines.size).isLessThan(10_000)
     }
--- a/telemetry/src/test/kotlin/io/carawaytrack/telemetry/MetricsTest.kt
+++ b/telemetry/src/test/kotlin/io/carawaytrack/telemetry/MetricsTest.kt
@@ -1,5 +1,5 @@
 /*
- * Metrics as Prometheus reads them, and the reference page kept equal to the catalog.
+ * Tests the metrics in the Prometheus text format, and guards against a reference page that differs from the catalog.
  */
 package io.carawaytrack.telemetry
 
@@ -166,10 +166,10 @@
                 """caraway_version_state{state="Withdrawn",version="quill@1"} 1.0""",
             ),
         ) { ConfigurationMetrics(it).inForce(configuration(7, setOf("b"), listOf(rollout))) },
-        Case("the lease that remains", listOf("caraway_lease_remaining_seconds 1.5")) {
+        Case("the remaining lease time", listOf("caraway_lease_remaining_seconds 1.5")) {
             registerLeaseGauge(it) { 1_500 }
         },
-        Case("a lease that has run out", listOf("caraway_lease_remaining_seconds 0.0")) {
+        Case("an expired lease", listOf("caraway_lease_remaining_seconds 0.0")) {
             registerLeaseGauge(it) { -20 }
         },
         Case(
@@ -239,7 +239,7 @@
             metrics.changeEnded(ErrorKind.VersionConflict)
         },
         Case(
-            "who is behind, which upstreams are there, and the ledger",
+            "holders, announced upstreams and the ledger",
             listOf(
                 """caraway_holders{role="Agent",state="current"} 1.0""",
                 """caraway_holders{role="Entry",state="behind"} 2.0""",
@@ -284,17 +284,17 @@
 
 class MetricsTest {
     @TestFactory
-    fun `metrics show`(): List<DynamicTest> = (entryCases + sharedCases + agentCases + controlCases).map { case ->
+    fun `metrics report`(): List<DynamicTest> = (entryCases + sharedCases + agentCases + controlCases).map { case ->
         DynamicTest.dynamicTest(case.name) {
             val registry = PrometheusRegistry()
             case.act(registry)
-            val shown = registry.text().lines()
-            expectThat(case.lines).all { get { this in shown }.describedAs("shown in $shown").isEqualTo(true) }
+            val scraped = registry.text().lines()
+            expectThat(case.lines).all { get { this in scraped }.describedAs("contained in $scraped").isEqualTo(true) }
         }
     }
 
     @Test
-    fun `a configuration replaces the zones and roll-outs of the one before`() {
+    fun `a configuration replaces the zones and roll-outs of the previous one`() {
         val registry = PrometheusRegistry()
         val metrics = ConfigurationMetrics(registry)
         metrics.inForce(configuration(1, setOf("a", "b"), listOf(rollout)))
@@ -307,7 +307,7 @@
     }
 
     @Test
-    fun `distinct label values are bounded and make room when the tables change`() {
+    fun `distinct label values are bounded and stale ones are removed when the tables change`() {
         val registry = PrometheusRegistry()
         val metrics = EntryMetrics(registry)
         val versions = (1..1_000).map { ModelVersion("quill", "$it") }
@@ -336,7 +336,7 @@
     }
 
     @Test
-    fun `a host registers exactly the metrics that the catalog lists for it, and renders what it believes`() {
+    fun `a host registers exactly the metrics that the catalog lists for it, and renders its status`() {
         val registry = PrometheusRegistry()
         val pool = PoolName("llm")
         val metrics =
@@ -381,7 +381,7 @@
     }
 
     @TestFactory
-    fun `the definition is well formed of`(): List<DynamicTest> =
+    fun `the definition is well formed for`(): List<DynamicTest> =
         MetricCatalog.sections.flatMap { it.metrics }.map { definition ->
             DynamicTest.dynamicTest(definition.name) {
                 val isCounter = definition.type == MetricType.Counter
@@ -411,7 +411,7 @@
         val page = Files.readString(Path.of("..", "docs", "METRICS.md"))
         expectThat(
             page,
-        ).describedAs("docs/METRICS.md, to be replaced by telemetry/target/METRICS.md").isEqualTo(expected)
+        ).describedAs("docs/METRICS.md, to be replaced with telemetry/target/METRICS.md").isEqualTo(expected)
     }
 }
 
--- a/telemetry/src/test/kotlin/io/carawaytrack/telemetry/ObservabilityServerTest.kt
+++ b/telemetry/src/test/kotlin/io/carawaytrack/telemetry/ObservabilityServerTest.kt
@@ -1,5 +1,5 @@
 /*
- * The observability port as a supervisor and Prometheus ask it.
+ * Tests the observability port over HTTP, as queried by a supervisor and Prometheus.
  */
 package io.carawaytrack.telemetry
 
@@ -43,7 +43,7 @@
         "/metrics, false, 200",
         "/other, true, 404",
     )
-    fun `each path answers by the state of the process`(
+    fun `each path returns the status for the state of the process`(
         path: String,
         ready: Boolean,
         status: Int,
@@ -56,16 +56,16 @@
     @Test
     fun `the metrics are in the Prometheus text format`() {
         ObservabilityServer(anyPort, telemetry.registry) { true }.use { server ->
-            val answer = get(server, "/metrics")
-            expectThat(answer.headers().firstValue("Content-Type").get()).contains("text/plain")
-            expectThat(answer.body())
+            val response = get(server, "/metrics")
+            expectThat(response.headers().firstValue("Content-Type").get()).contains("text/plain")
+            expectThat(response.body())
                 .contains("# TYPE jvm_memory_used_bytes gauge")
                 .contains("jvm_memory_used_bytes{area=\"heap\"}")
         }
     }
 
     @Test
-    fun `a port in use is refused at once`() {
+    fun `binding a port in use fails immediately`() {
         ObservabilityServer(anyPort, telemetry.registry) { true }.use { server ->
             expectThrows<IOException> {
                 ObservabilityServer(HostPort("127.0.0.1", server.port), telemetry.registry) { true }
@@ -74,17 +74,17 @@
     }
 
     @Test
-    fun `the end of the process is left to its owner`() {
+    fun `the shutdown hook of the engine is disabled`() {
         ObservabilityServer(anyPort, telemetry.registry) { true }.use {
-            val closesAtSignal = Class.forName("io.ktor.server.engine.ShutdownHookJvmKt")
-            expectThat(closesAtSignal.getMethod("getSHUTDOWN_HOOK_ENABLED").invoke(null)).isEqualTo(false)
+            val shutdownHook = Class.forName("io.ktor.server.engine.ShutdownHookJvmKt")
+            expectThat(shutdownHook.getMethod("getSHUTDOWN_HOOK_ENABLED").invoke(null)).isEqualTo(false)
         }
     }
 
     @Test
-    fun `a closed server gives its port back`() {
+    fun `a closed server releases its port`() {
         val port = ObservabilityServer(anyPort, telemetry.registry) { true }.use { it.port }
-        val again = ObservabilityServer(HostPort("127.0.0.1", port), telemetry.registry) { true }
-        again.use { expectThat(it.port == port).isTrue() }
+        val reopened = ObservabilityServer(HostPort("127.0.0.1", port), telemetry.registry) { true }
+        reopened.use { expectThat(it.port == port).isTrue() }
     }
 }
--- a/telemetry/src/test/kotlin/io/carawaytrack/telemetry/TelemetryTest.kt
+++ b/telemetry/src/test/kotlin/io/carawaytrack/telemetry/TelemetryTest.kt
@@ -1,6 +1,6 @@
 /*
- * Spans as the next hop and the reader of the lines see them: the trace goes on from a well-formed `traceparent`, a
- * malformed one begins a new trace, and a slow sink costs spans and no time.
+ * Guards against broken traces and against span export that delays requests: a well-formed `traceparent` continues its
+ * trace, a malformed one starts a new trace, and a slow sink causes spans to be dropped without blocking the caller.
  */
 package io.carawaytrack.telemetry
 
@@ -42,7 +42,7 @@
     ) = Telemetry(NodeId("entry-1"), NodeRole.Entry, ZoneName("a"), settings, sink)
 
     @Test
-    fun `a span goes on with the trace of its traceparent and tells what happened`() {
+    fun `a span continues the trace of its traceparent and records attributes and the failure`() {
         telemetry().use { telemetry ->
             telemetry.span("dispatch", SAMPLED, mapOf("route" to "letters")).use { hop ->
                 hop.attribute("version", "quill@1")
@@ -79,7 +79,7 @@
             "00-$TRACE_ID-$PARENT_ID-01\r\nX-Injected: 1",
         ],
     )
-    fun `a malformed traceparent begins a new trace`(traceparent: String) {
+    fun `a malformed traceparent starts a new trace`(traceparent: String) {
         telemetry().use { telemetry ->
             telemetry.span("hop", traceparent).use { hop ->
                 expectThat(hop.traceparent).matches(Regex("00-[0-9a-f]{32}-[0-9a-f]{16}-03"))
@@ -96,7 +96,7 @@
         "1.0, 00-$TRACE_ID-$PARENT_ID-00, 00, 0",
         "0.0, $SAMPLED, 01, 1",
     )
-    fun `a new trace follows the sample ratio and a trace begun elsewhere its own flag`(
+    fun `a new trace follows the sample ratio and a remote trace keeps its sampled flag`(
         sampleRatio: Double,
         traceparent: String?,
         flags: String,
@@ -109,7 +109,7 @@
     }
 
     @Test
-    fun `the next hop is a child of this one`() {
+    fun `the span of the next hop is a child of this one`() {
         telemetry().use { telemetry ->
             telemetry.span("entry").use { entry -> telemetry.span("agent", entry.traceparent).close() }
         }
@@ -119,19 +119,19 @@
     }
 
     @Test
-    fun `spans beyond the queue are dropped and counted while the sink is stuck`() {
-        val stuck = CountDownLatch(1)
-        val goOn = CountDownLatch(1)
+    fun `spans beyond the queue are dropped and counted while the sink is blocked`() {
+        val sinkBlocked = CountDownLatch(1)
+        val unblockSink = CountDownLatch(1)
         val telemetry =
             telemetry(TelemetrySettings(maxQueuedSpans = 2)) {
-                stuck.countDown()
-                goOn.await()
+                sinkBlocked.countDown()
+                unblockSink.await()
                 lines += it
             }
         telemetry.span("first").close()
-        stuck.await()
+        sinkBlocked.await()
         repeat(5) { telemetry.span("later").close() }
-        goOn.countDown()
+        unblockSink.countDown()
         telemetry.close()
         expectThat(lines).hasSize(3)
         expectThat(telemetry.registry.text())
@@ -140,11 +140,11 @@
     }
 
     @Test
-    fun `a span that cannot be written is counted and the next one is tried`() {
-        val faults = ArrayDeque(listOf(IOException("no space left on device")))
+    fun `a span that cannot be written is counted as dropped and the next one is written`() {
+        val failures = ArrayDeque(listOf(IOException("no space left on device")))
         val telemetry =
             telemetry { line ->
-                faults.removeFirstOrNull()?.let { throw it }
+                failures.removeFirstOrNull()?.let { throw it }
                 lines += line
             }
         repeat(2) { telemetry.span("hop").close() }
@@ -154,7 +154,7 @@
     }
 
     @Test
-    fun `spans are appended to the file of the setting`(
+    fun `spans are appended to the configured file`(
         @TempDir folder: Path,
     ) {
         val file = folder.resolve("spans.jsonl")
@@ -166,7 +166,7 @@
     }
 
     @Test
-    fun `without an output the traceparent is passed on all the same`() {
+    fun `the traceparent is propagated without a span output`() {
         Telemetry(NodeId("agent-1"), NodeRole.Agent, ZoneName("b")).use { telemetry ->
             telemetry.span("hop", SAMPLED).use { expectThat(it.traceparent).contains(TRACE_ID) }
         }
