--- a/bench/src/main/kotlin/io/carawaytrack/bench/CallerLoad.kt
+++ b/bench/src/main/kotlin/io/carawaytrack/bench/CallerLoad.kt
@@ -1,6 +1,6 @@
 /*
- * Streams many answers at once, through an entry or straight from an upstream, and measures the time to the first token
- * and between tokens.
+ * Load generator that streams many answers concurrently, through an entry or directly from an upstream, and measures
+ * the time to the first token and between tokens.
  */
 package io.carawaytrack.bench
 
@@ -24,15 +24,15 @@
 import org.HdrHistogram.ConcurrentHistogram
 import java.util.concurrent.atomic.AtomicInteger
 
-private const val LONGEST_NANOS = 120_000_000_000L
-private const val DIGITS = 3
-private const val NANOS_PER_MILLI = 1e6
+private const val MAX_RECORDED_NANOS = 120_000_000_000L
+private const val SIGNIFICANT_DIGITS = 3
+private const val NANOS_PER_MILLISECOND = 1e6
 private const val NANOS_PER_SECOND = 1e9
-private const val MEDIAN = 50.0
-private const val TAIL = 99.0
-private const val END_EVENT = "data: [DONE]"
+private const val MEDIAN_PERCENTILE = 50.0
+private const val TAIL_PERCENTILE = 99.0
+private const val END_OF_STREAM_EVENT = "data: [DONE]"
 
-/** Tells how [streams] callers fared. */
+/** Reports the outcome counts, latencies and throughput of [streams] concurrent callers. */
 @Serializable
 internal data class StreamResult(
     val target: String,
@@ -54,8 +54,8 @@
     private val answersPerStream: Int,
     private val answerTokens: Int,
 ) {
-    private val firstToken = ConcurrentHistogram(LONGEST_NANOS, DIGITS)
-    private val gap = ConcurrentHistogram(LONGEST_NANOS, DIGITS)
+    private val firstTokenNanos = ConcurrentHistogram(MAX_RECORDED_NANOS, SIGNIFICANT_DIGITS)
+    private val gapNanos = ConcurrentHistogram(MAX_RECORDED_NANOS, SIGNIFICANT_DIGITS)
     private val answers = AtomicInteger()
     private val failures = AtomicInteger()
 
@@ -63,7 +63,7 @@
         val startedNanos = System.nanoTime()
         client(streams).use { client ->
             coroutineScope {
-                repeat(streams) { launch { repeat(answersPerStream) { one(client) } } }
+                repeat(streams) { launch { repeat(answersPerStream) { streamAnswer(client) } } }
             }
         }
         val seconds = (System.nanoTime() - startedNanos) / NANOS_PER_SECOND
@@ -72,12 +72,12 @@
             streams = streams,
             answers = answers.get(),
             failures = failures.get(),
-            firstTokenMedianMillis = firstToken.millisAt(MEDIAN),
-            firstTokenTailMillis = firstToken.millisAt(TAIL),
-            gapMedianMillis = gap.millisAt(MEDIAN),
-            gapTailMillis = gap.millisAt(TAIL),
+            firstTokenMedianMillis = firstTokenNanos.millisAt(MEDIAN_PERCENTILE),
+            firstTokenTailMillis = firstTokenNanos.millisAt(TAIL_PERCENTILE),
+            gapMedianMillis = gapNanos.millisAt(MEDIAN_PERCENTILE),
+            gapTailMillis = gapNanos.millisAt(TAIL_PERCENTILE),
             answersPerSecond = answers.get() / seconds,
-            tokensPerSecond = gap.totalCount / seconds,
+            tokensPerSecond = gapNanos.totalCount / seconds,
         )
     }
 
@@ -89,21 +89,21 @@
         }
     }
 
-    private suspend fun one(client: HttpClient) {
+    private suspend fun streamAnswer(client: HttpClient) {
         val sentNanos = System.nanoTime()
-        var lastNanos = sentNanos
-        var ended = false
-        client.preparePost("http://$target/v1/chat/completions") { chat() }.execute { response ->
+        var previousNanos = sentNanos
+        var completed = false
+        client.preparePost("http://$target/v1/chat/completions") { setChatRequest() }.execute { response ->
             val body = response.bodyAsChannel()
             forEachEvent(body) { line ->
-                ended = line == END_EVENT
-                val now = System.nanoTime()
-                val histogram = if (lastNanos == sentNanos) firstToken else gap
-                histogram.recordValue((now - lastNanos).coerceAtMost(LONGEST_NANOS))
-                lastNanos = now
+                completed = line == END_OF_STREAM_EVENT
+                val nowNanos = System.nanoTime()
+                val histogram = if (previousNanos == sentNanos) firstTokenNanos else gapNanos
+                histogram.recordValue((nowNanos - previousNanos).coerceAtMost(MAX_RECORDED_NANOS))
+                previousNanos = nowNanos
             }
         }
-        (if (ended) answers else failures).incrementAndGet()
+        (if (completed) answers else failures).incrementAndGet()
     }
 
     private suspend fun forEachEvent(
@@ -116,7 +116,7 @@
         }
     }
 
-    private fun HttpRequestBuilder.chat() {
+    private fun HttpRequestBuilder.setChatRequest() {
         key?.let { header(HttpHeaders.Authorization, "Bearer $it") }
         contentType(ContentType.Application.Json)
         setBody(
@@ -125,5 +125,6 @@
         )
     }
 
-    private fun ConcurrentHistogram.millisAt(percentile: Double) = getValueAtPercentile(percentile) / NANOS_PER_MILLI
+    private fun ConcurrentHistogram.millisAt(percentile: Double) =
+        getValueAtPercentile(percentile) / NANOS_PER_MILLISECOND
 }
