--- a/bench/src/main/kotlin/io/carawaytrack/bench/HolderLoad.kt
+++ b/bench/src/main/kotlin/io/carawaytrack/bench/HolderLoad.kt
@@ -1,6 +1,6 @@
 /*
- * Puts many entries and agents on the control hosts, as far as these can tell, and reads what it costs the leading one
- * from its own metrics.
+ * Load generator that connects many simulated entries and agents to the control hosts, which cannot distinguish them
+ * from real ones, and reads the resulting cost from the metrics of the control hosts.
  */
 package io.carawaytrack.bench
 
@@ -22,13 +22,13 @@
 import kotlinx.serialization.Serializable
 
 private const val WARM_UP_MILLIS = 5_000L
-private const val PERMITS = 32
+private const val ANNOUNCED_PERMITS = 32
 private const val MILLIS_PER_SECOND = 1_000.0
 
-/** Processes for each entry among them: 340 entries and 1,800 agents make 2,140. */
+/** Ratio of holders to entries: a deployment of 340 entries and 1,800 agents has 2,140 holders. */
 private const val HOLDERS_PER_ENTRY = 6
 
-/** Tells what [holders] processes cost one control host. */
+/** Reports the processor time and memory that [holders] processes cost one control host. */
 @Serializable
 internal data class HolderCost(
     val holders: Int,
@@ -39,22 +39,25 @@
 )
 
 internal class HolderLoad(
-    private val control: List<HostPort>,
-    private val observability: List<HostPort>,
+    private val controlAddresses: List<HostPort>,
+    private val observabilityAddresses: List<HostPort>,
     private val secret: SharedSecret,
     private val measureMillis: Long,
 ) {
     suspend fun run(count: Int): List<HolderCost> {
-        val holders = List(count, ::holder)
+        val holders = List(count, ::createHolder)
         holders.forEach { it.client.start() }
         delay(WARM_UP_MILLIS)
-        val before = observability.map { scrape(it) }
+        val before = observabilityAddresses.map { scrape(it) }
         delay(measureMillis)
-        val after = observability.map { scrape(it) }
-        val held = holders.count { it.client.lease.held }
-        check(held == count) { "expected $count leases held, got $held" }
+        val after = observabilityAddresses.map { scrape(it) }
+        val heldLeases = holders.count { it.client.lease.held }
+        check(heldLeases == count) {
+            "expected $count held leases after $WARM_UP_MILLIS ms of warm-up and $measureMillis ms of measurement, " +
+                "got $heldLeases"
+        }
         holders.forEach(Holder::close)
-        return observability.indices.map { cost(count, observability[it], before[it], after[it]) }
+        return observabilityAddresses.indices.map { cost(count, observabilityAddresses[it], before[it], after[it]) }
     }
 
     private fun cost(
@@ -70,20 +73,20 @@
         heapBytes = after.heapBytes,
     )
 
-    private fun holder(number: Int): Holder {
-        val entry = number % HOLDERS_PER_ENTRY == 0
-        val role = if (entry) NodeRole.Entry else NodeRole.Agent
+    private fun createHolder(number: Int): Holder {
+        val isEntry = number % HOLDERS_PER_ENTRY == 0
+        val role = if (isEntry) NodeRole.Entry else NodeRole.Agent
         val identity = PeerIdentity(NodeId("bench-$number"), role, ZoneName("bench"))
         val hub = LinkHub(identity, secret, ::monotonicMillis)
-        var beats = 0
-        val announcement = { if (entry) null else announcement(number, beats++) }
+        var heartbeats = 0
+        val announcement = { if (isEntry) null else announcement(number, heartbeats++) }
         val ports = ControlClientPorts(hub::connect, ::monotonicMillis, announcement)
-        return Holder(hub, ControlClient(control, ports))
+        return Holder(hub, ControlClient(controlAddresses, ports))
     }
 
     private fun announcement(
         number: Int,
-        beats: Int,
+        heartbeats: Int,
     ) = Announcement(
         upstream = UpstreamId("bench-$number"),
         zone = ZoneName("bench"),
@@ -91,7 +94,12 @@
         agentPort = 1,
         incarnation = 1,
         versions = listOf(ModelVersion("bench-model", "1")),
-        load = UpstreamLoad(permits = PERMITS, running = beats % PERMITS, queuedTokens = beats.toLong()),
+        load =
+            UpstreamLoad(
+                permits = ANNOUNCED_PERMITS,
+                running = heartbeats % ANNOUNCED_PERMITS,
+                queuedTokens = heartbeats.toLong(),
+            ),
     )
 }
 
