--- a/bench/src/main/kotlin/io/carawaytrack/bench/Slope.kt
+++ b/bench/src/main/kotlin/io/carawaytrack/bench/Slope.kt
@@ -1,12 +1,12 @@
 /*
- * A straight line through measured points, with the error of the fit.
+ * Linear regression over measured points, with the error of the fit.
  */
 package io.carawaytrack.bench
 
 import kotlinx.serialization.Serializable
 import kotlin.math.sqrt
 
-/** One measurement: [y] at size [x]. */
+/** Describes a measurement of [y] at size [x]. */
 @Serializable
 public data class Point(
     val x: Double,
@@ -14,10 +14,10 @@
 )
 
 /**
- * Holds a fitted line.
+ * Describes a fitted line.
  *
- * @property slope growth of y for each unit of x
- * @property rootMeanSquareError of the points about the line, in the unit of y
+ * @property slope increase of y per unit of x
+ * @property rootMeanSquareError root mean square of the residuals, in the unit of y
  */
 @Serializable
 public data class Line(
@@ -26,19 +26,19 @@
     val rootMeanSquareError: Double,
 )
 
-/** Fits a line by least squares; throws `IllegalArgumentException` for fewer than two different sizes. */
+/** Fits a line by least squares; throws `IllegalArgumentException` for fewer than two distinct sizes. */
 public fun fit(points: List<Point>): Line {
     val meanX = points.map(Point::x).average()
     val meanY = points.map(Point::y).average()
-    val spread = points.sumOf { (it.x - meanX) * (it.x - meanX) }
-    require(spread > 0) { "expected at least two different sizes, got ${points.map(Point::x)}" }
-    val slope = points.sumOf { (it.x - meanX) * (it.y - meanY) } / spread
+    val sumOfSquaresX = points.sumOf { (it.x - meanX) * (it.x - meanX) }
+    require(sumOfSquaresX > 0) { "expected at least two distinct sizes, got ${points.map(Point::x)}" }
+    val slope = points.sumOf { (it.x - meanX) * (it.y - meanY) } / sumOfSquaresX
     val intercept = meanY - slope * meanX
-    val squares = points.map { it.y - intercept - slope * it.x }.map { it * it }
-    return Line(slope, intercept, sqrt(squares.average()))
+    val squaredResiduals = points.map { it.y - intercept - slope * it.x }.map { it * it }
+    return Line(slope, intercept, sqrt(squaredResiduals.average()))
 }
 
-/** Names a measured slope. */
+/** Reports a measured slope with its points and the fitted line. */
 @Serializable
 public data class SlopeReport(
     val name: String,
--- a/bench/src/main/kotlin/io/carawaytrack/bench/StateSlopes.kt
+++ b/bench/src/main/kotlin/io/carawaytrack/bench/StateSlopes.kt
@@ -1,6 +1,6 @@
 /*
- * Slopes that need no other process: bytes of each message by what it carries, and the memory and processor time of the
- * request ledger by its records.
+ * Slopes that are measured without another process: the encoded size of messages by their content, and the memory and
+ * processor time of the request ledger by its number of records.
  */
 package io.carawaytrack.bench
 
@@ -34,37 +34,42 @@
 import java.lang.management.ManagementFactory
 
 private const val ANSWER_BYTES = 1_000
-private const val NANOS_PER_MICRO = 1_000.0
-private const val SETTLE_ROUNDS = 3
-private const val SOME_PERMITS = 32
-private const val SOME_RUNNING = 17
-private const val SOME_TOKENS = 12_345L
+private const val NANOS_PER_MICROSECOND = 1_000.0
+private const val GARBAGE_COLLECTION_ROUNDS = 3
+private const val SAMPLE_PERMITS = 32
+private const val SAMPLE_RUNNING = 17
+private const val SAMPLE_QUEUED_TOKENS = 12_345L
 private const val DIGEST_BYTES = 32
 private const val STATUS_OK = 200
 private const val PROMPT_TOKENS = 800L
 private const val ANSWER_TOKENS = 215L
 private const val UUID_TAIL_DIGITS = 12
-private const val SMALL_RUN = 10_000
+private const val SMALL_RECORD_COUNT = 10_000
 
 private val upstreamCounts = listOf(1, 50, 150, 450)
 private val organisationCounts = listOf(10, 50, 100, 200)
-private val recordCounts = listOf(SMALL_RUN, 20_000, 40_000, 80_000)
+private val recordCounts = listOf(SMALL_RECORD_COUNT, 20_000, 40_000, 80_000)
 private val organisation = OrganisationName("sajha-dealer-07")
 private val version = ModelVersion("quill-large", "2026-11-30")
 
 internal fun stateSlopes(): List<SlopeReport> = listOf(
-    slopeReport("grant bytes by changed upstreams", "bytes", upstreamCounts.map(::grantBytes)),
-    slopeReport("configuration bytes by organisations and routes", "bytes", organisationCounts.map(::tableBytes)),
-    slopeReport("ledger heap bytes by finished requests", "bytes", recordCounts.map { heapOf(it, keyed = true) }),
-    slopeReport("ledger heap bytes by bills alone", "bytes", recordCounts.map { heapOf(it, keyed = false) }),
-    slopeReport("ledger microseconds by begin and finish", "microseconds", recordCounts.map(::applyTime)),
+    slopeReport("grant bytes by changed upstreams", "bytes", upstreamCounts.map(::grantPoint)),
+    slopeReport(
+        "configuration bytes by organisations and routes",
+        "bytes",
+        organisationCounts.map(::configurationPoint),
+    ),
+    slopeReport("ledger heap bytes by finished requests", "bytes", recordCounts.map { heapPoint(it, keyed = true) }),
+    slopeReport("ledger heap bytes by bills alone", "bytes", recordCounts.map { heapPoint(it, keyed = false) }),
+    slopeReport("ledger microseconds by begin and finish", "microseconds", recordCounts.map(::applyTimePoint)),
 )
 
-/** Returns the sizes of single messages, in bytes. */
+/** Returns the encoded size of each message, in bytes. */
 internal fun messageBytes(): Map<String, Int> = mapOf(
-    "heartbeat of an entry" to frameBytes(Heartbeat(SMALL_RUN.toLong(), 1, membershipNumber = SMALL_RUN.toLong())),
-    "heartbeat of an agent" to frameBytes(Heartbeat(SMALL_RUN.toLong(), 1, announcement(1))),
-    "grant without news" to frameBytes(LeaseGrant(SMALL_RUN.toLong(), LEASE_MILLIS, 1)),
+    "heartbeat of an entry" to
+        frameBytes(Heartbeat(SMALL_RECORD_COUNT.toLong(), 1, membershipNumber = SMALL_RECORD_COUNT.toLong())),
+    "heartbeat of an agent" to frameBytes(Heartbeat(SMALL_RECORD_COUNT.toLong(), 1, announcement(1))),
+    "grant without news" to frameBytes(LeaseGrant(SMALL_RECORD_COUNT.toLong(), LEASE_MILLIS, 1)),
     "ledger begin" to begin(1).encode().size,
     "ledger finish with a kept answer" to finish(1, keyed = true).encode().size,
     "ledger finish without an answer" to finish(1, keyed = false).encode().size,
@@ -79,16 +84,16 @@
     agentPort = 7_400,
     incarnation = 1_764_800_000_000,
     versions = listOf(version),
-    load = UpstreamLoad(permits = SOME_PERMITS, running = SOME_RUNNING, queuedTokens = SOME_TOKENS),
+    load = UpstreamLoad(permits = SAMPLE_PERMITS, running = SAMPLE_RUNNING, queuedTokens = SAMPLE_QUEUED_TOKENS),
 )
 
-private fun grantBytes(count: Int): Point {
+private fun grantPoint(count: Int): Point {
     val membership = Membership(1, complete = false, upstreams = List(count, ::announcement))
     val grant = LeaseGrant(1, LEASE_MILLIS, 1, membership = membership)
     return Point(count.toDouble(), frameBytes(grant).toDouble())
 }
 
-private fun tableBytes(count: Int): Point {
+private fun configurationPoint(count: Int): Point {
     val organisations =
         List(count) { number ->
             Organisation(
@@ -140,7 +145,7 @@
 private fun requestId(number: Int) =
     RequestId("6f1c2f6e-0000-4000-8000-${number.toString().padStart(UUID_TAIL_DIGITS, '0')}")
 
-private fun fill(
+private fun filledLedger(
     count: Int,
     keyed: Boolean,
 ): Ledger {
@@ -152,26 +157,26 @@
     return ledger
 }
 
-private fun heapOf(
+private fun heapPoint(
     count: Int,
     keyed: Boolean,
 ): Point {
-    val before = settledHeapBytes()
-    val ledger = fill(count, keyed)
-    val held = settledHeapBytes() - before
+    val beforeBytes = heapBytesAfterGarbageCollection()
+    val ledger = filledLedger(count, keyed)
+    val heldBytes = heapBytesAfterGarbageCollection() - beforeBytes
     check(ledger.size().bills == count) { "expected $count bills, got ${ledger.size()}" }
-    return Point(count.toDouble(), held.toDouble())
+    return Point(count.toDouble(), heldBytes.toDouble())
 }
 
-private fun settledHeapBytes(): Long {
-    repeat(SETTLE_ROUNDS) { System.gc() }
+private fun heapBytesAfterGarbageCollection(): Long {
+    repeat(GARBAGE_COLLECTION_ROUNDS) { System.gc() }
     return ManagementFactory.getMemoryMXBean().heapMemoryUsage.used
 }
 
-private fun applyTime(count: Int): Point {
+private fun applyTimePoint(count: Int): Point {
     val threads = ManagementFactory.getThreadMXBean()
-    fill(SMALL_RUN, keyed = true)
-    val before = threads.currentThreadCpuTime
-    fill(count, keyed = true)
-    return Point(count.toDouble(), (threads.currentThreadCpuTime - before) / NANOS_PER_MICRO)
+    filledLedger(SMALL_RECORD_COUNT, keyed = true)
+    val beforeNanos = threads.currentThreadCpuTime
+    filledLedger(count, keyed = true)
+    return Point(count.toDouble(), (threads.currentThreadCpuTime - beforeNanos) / NANOS_PER_MICROSECOND)
 }
--- a/bench/src/test/kotlin/io/carawaytrack/bench/SlopeTest.kt
+++ b/bench/src/test/kotlin/io/carawaytrack/bench/SlopeTest.kt
@@ -1,5 +1,5 @@
 /*
- * The fit of a line.
+ * Tests the linear regression from which the capacity slopes are derived.
  */
 package io.carawaytrack.bench
 
@@ -12,13 +12,13 @@
 
 class SlopeTest {
     @Test
-    fun `points on a line give back its slope with no error`() {
+    fun `points on a line yield its slope without error`() {
         val line = fit(listOf(1.0, 2.0, 5.0, 9.0).map { Point(it, 3.0 * it + 4.0) })
         expectThat(line).isEqualTo(Line(slope = 3.0, intercept = 4.0, rootMeanSquareError = 0.0))
     }
 
     @Test
-    fun `one size alone has no slope`() {
+    fun `points of a single size are rejected`() {
         expectCatching { fit(listOf(Point(1.0, 1.0), Point(1.0, 2.0))) }.isFailure().isA<IllegalArgumentException>()
     }
 }
