--- a/bench/src/main/kotlin/io/carawaytrack/bench/Main.kt
+++ b/bench/src/main/kotlin/io/carawaytrack/bench/Main.kt
@@ -1,6 +1,7 @@
 /*
- * The program `caraway-bench`: measures the slopes from which docs/CAPACITY.md is worked out, and what the path adds to
- * an answer. Every load is bounded in count and time and goes to the addresses given, which must be on loopback.
+ * The program `caraway-bench`: measures the slopes from which docs/CAPACITY.md is derived, and the latency that the
+ * request path adds to an answer. Every load is bounded in count and duration, and targets only the given addresses,
+ * which must be on loopback.
  */
 package io.carawaytrack.bench
 
@@ -24,7 +25,6 @@
 
 private const val DEFAULT_MEASURE_MILLIS = 10_000L
 
-/** Starts the bench from the command line. */
 public fun main(arguments: Array<String>) {
     installJsonLogs(NodeId("bench"), NodeRole.Tool, ZoneName("bench"), Level.ERROR)
     runCommand(BenchCommand(), arguments)
@@ -47,7 +47,7 @@
     }
 }
 
-@Command(name = "holders", description = ["What many entries and agents cost the control hosts."])
+@Command(name = "holders", description = ["Cost of many entries and agents to the control hosts."])
 private class HoldersCommand : Callable<Int> {
     @Option(names = ["--control"], split = ",", required = true, converter = [LoopbackAddress::class])
     private lateinit var control: List<HostPort>
@@ -106,7 +106,7 @@
     }
 }
 
-/** Reads an address and refuses any that is not on loopback. */
+/** Parses an address; rejects any that is not on loopback, so that no load leaves the machine. */
 private class LoopbackAddress : ITypeConverter<HostPort> {
     override fun convert(value: String): HostPort {
         val address = HostPort.parse(value)
--- a/bench/src/main/kotlin/io/carawaytrack/bench/Scrape.kt
+++ b/bench/src/main/kotlin/io/carawaytrack/bench/Scrape.kt
@@ -1,5 +1,5 @@
 /*
- * Reads a process's own metrics.
+ * Scrapes the metrics that a process reports about itself.
  */
 package io.carawaytrack.bench
 
@@ -26,5 +26,5 @@
 
 private fun String.sample(name: String): Double {
     val line = lineSequence().firstOrNull { it.startsWith("$name ") }
-    return checkNotNull(line) { "expected the metric $name" }.substringAfterLast(' ').toDouble()
+    return checkNotNull(line) { "expected a sample of the metric $name, found none" }.substringAfterLast(' ').toDouble()
 }
