--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/MetricCatalog.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/MetricCatalog.kt
@@ -121,9 +121,14 @@
             VERSION_LABEL,
         )
     internal val ratings = summary("caraway_answer_rating", "Ratings of answers, 0 to 1.", ROUTE_LABEL, VERSION_LABEL)
-    internal val qualityTarget = gauge("caraway_quality_target", "Rating from 0 to 1 that is asked for.", ROUTE_LABEL)
+    internal val qualityTarget = gauge("caraway_quality_target", "Target rating of answers, 0 to 1.", ROUTE_LABEL)
     internal val exposures =
-        counter("caraway_exposed_requests_total", "Requests sent to a version on trial.", ROLLOUT_LABEL, VERSION_LABEL)
+        counter(
+            "caraway_exposed_requests_total",
+            "Requests that a roll-out sent to its new version.",
+            ROLLOUT_LABEL,
+            VERSION_LABEL,
+        )
 
     internal val configurationNumber = gauge("caraway_configuration_number", "Number of the configuration held.")
     internal val zoneOut =
@@ -131,7 +136,7 @@
     internal val rolloutPercent =
         gauge(
             "caraway_rollout_percent",
-            "Percent of new requests that a roll-out asks for.",
+            "Target percentage of new requests for the new version of a roll-out.",
             ROLLOUT_LABEL,
             VERSION_LABEL,
             PHASE_LABEL,
@@ -149,11 +154,11 @@
     internal val readersEnded =
         counter("caraway_slow_readers_ended_total", "Slow readers whose stream was ended to free memory.")
 
-    internal val permits = gauge("caraway_agent_permits", "Requests that the agent would run at once now.")
+    internal val permits = gauge("caraway_agent_permits", "Current concurrency limit of the agent.")
     internal val running = gauge("caraway_agent_running", "Requests that are running.")
-    internal val queuedTokens = gauge("caraway_agent_queued_tokens", "Tokens still to be worked off.")
+    internal val queuedTokens = gauge("caraway_agent_queued_tokens", "Tokens still to be processed.")
     internal val refusals =
-        counter("caraway_agent_refusals_total", "Attempts refused before the upstream saw them.", KIND_LABEL)
+        counter("caraway_agent_refusals_total", "Attempts refused before they reached the upstream.", KIND_LABEL)
     internal val agentAttempts =
         counter(
             "caraway_agent_attempts_total",
@@ -177,8 +182,9 @@
             VERSION_LABEL,
         )
     internal val slowStarts =
-        counter("caraway_agent_slow_starts_total", "Times that admission began anew at a cold start.")
-    internal val quarantines = counter("caraway_agent_quarantines_total", "Requests quarantined as crashing upstreams.")
+        counter("caraway_agent_slow_starts_total", "Times that admission restarted at a cold start.")
+    internal val quarantines =
+        counter("caraway_agent_quarantines_total", "Requests quarantined because they crash upstreams.")
 
     internal val leading = gauge("caraway_log_leading", "1 while this control host leads.")
     internal val term = gauge("caraway_log_term", "Term of the replicated log.")
@@ -195,13 +201,14 @@
     internal val changes =
         counter(
             "caraway_configuration_changes_total",
-            "Changes of the configuration asked for, by outcome.",
+            "Requested configuration changes, by outcome.",
             KIND_LABEL,
         )
     internal val holders =
         gauge("caraway_holders", "Processes that hold a configuration, current or behind.", "role", "state")
     internal val upstreams = gauge("caraway_upstreams", "Announced upstreams.", ZONE_LABEL, "state")
-    internal val openIntents = gauge("caraway_ledger_open_intents", "Requests recorded as begun and not yet as ended.")
+    internal val openIntents =
+        gauge("caraway_ledger_open_intents", "Requests recorded as started and not yet as ended.")
     internal val sessions = gauge("caraway_ledger_sessions", "Sessions that are pinned to a version.")
 
     internal val spans = counter("caraway_spans_total", "Ended spans, by whether they were written.", "outcome")
@@ -234,18 +241,20 @@
         counter("caraway_host_attempts_total", "Ended attempts of a host.", "pool", VERSION_LABEL, "outcome")
     internal val hostConfiguration =
         gauge("caraway_host_configuration_version", "Version of the operator's document in force on a host.")
-    internal val hostViewIndex = gauge("caraway_host_view_index", "Log index of the agreed state that a host knows.")
-    internal val hostUpstreams = gauge("caraway_host_upstreams", "Upstreams that a host knows, by pool.", "pool")
+    internal val hostViewIndex =
+        gauge("caraway_host_view_index", "Log index of the latest agreed state known to a host.")
+    internal val hostUpstreams = gauge("caraway_host_upstreams", "Upstreams known to a host, by pool.", "pool")
     internal val hostLastContactAge =
         gauge(
             "caraway_host_upstream_silence_seconds",
-            "Longest silence of an upstream that a host knows, by pool.",
+            "Longest time since an upstream last reported to a host, by pool.",
             "pool",
         )
-    internal val hostPeers = gauge("caraway_host_peers", "Hosts that a host counts, itself included.")
+    internal val hostPeers = gauge("caraway_host_peers", "Hosts known to a host, including itself.")
     internal val hostLeading = gauge("caraway_host_leading", "Whether a host leads the core, 0 or 1.")
     internal val hostUnfinished = gauge("caraway_host_unfinished_requests", "Requests that are being served.")
-    internal val hostWaiting = gauge("caraway_host_waiting_requests", "Requests that wait for an upstream with room.")
+    internal val hostWaiting =
+        gauge("caraway_host_waiting_requests", "Requests waiting for an upstream with free capacity.")
 
     /** All metrics, grouped by purpose. */
     public val sections: List<MetricSection> =
