--- a/telemetry/src/test/kotlin/io/carawaytrack/telemetry/MetricsTest.kt
+++ b/telemetry/src/test/kotlin/io/carawaytrack/telemetry/MetricsTest.kt
@@ -239,7 +239,7 @@
             metrics.changeEnded(ErrorKind.VersionConflict)
         },
         Case(
-            "holders, announced upstreams and the ledger",
+            "holders by state, announced upstreams and the ledger",
             listOf(
                 """caraway_holders{role="Agent",state="current"} 1.0""",
                 """caraway_holders{role="Entry",state="behind"} 2.0""",
