--- a/agent/src/main/kotlin/io/carawaytrack/agent/Agent.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/Agent.kt
@@ -113,12 +113,15 @@
     private fun slowStartSettings(): SlowStartSettings {
         val slowStart =
             SlowStartSettings(
-                startPermits = minOf(settings.coldPermits, settings.maxPermits),
+                initialPermits = minOf(settings.coldPermits, settings.maxPermits),
                 maxPermits = settings.maxPermits,
                 rampMillis = settings.rampMillis,
             )
         if (settings.kind == ServiceKind.Model) return slowStart
-        return slowStart.copy(goodFactor = LATENCY_FACTOR_DISABLED, relapseFactor = LATENCY_FACTOR_DISABLED)
+        return slowStart.copy(
+            healthyLatencyFactor = LATENCY_FACTOR_DISABLED,
+            degradedLatencyFactor = LATENCY_FACTOR_DISABLED,
+        )
     }
 
     private fun permits(): Int = health.permits
--- a/entry/src/main/kotlin/io/carawaytrack/entry/Dispatcher.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/Dispatcher.kt
@@ -59,7 +59,7 @@
         val member =
             configuration().tables.membersOf(request.route.pool).find { it.version == version }
                 ?: return Err(ErrorKind.StaleConfiguration.notRun("$version is not in pool ${request.route.pool}"))
-        retryBudget.requested()
+        retryBudget.recordRequest()
         return RetryLoop(request, member, pinned).run()
     }
 
@@ -121,7 +121,9 @@
             if (failure.kind in nonRetryableKinds) return false
             if (failure.execution == Execution.NotRun) return true
             execution = Execution.MayHaveRun
-            return request.repeatable && retriesAfterExecution++ < MAX_RETRIES_AFTER_EXECUTION && retryBudget.tryRetry()
+            return request.repeatable &&
+                retriesAfterExecution++ < MAX_RETRIES_AFTER_EXECUTION &&
+                retryBudget.tryAcquire()
         }
 
         private fun failed(last: Failure): Result<Nothing, Failure> =
--- a/entry/src/main/kotlin/io/carawaytrack/entry/RequestHandler.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/RequestHandler.kt
@@ -98,8 +98,8 @@
         val reply = begin(request, plan).getOrElse { return Reply.Refused(request.id, it) }
         return when (reply) {
             is LedgerReply.Started -> runStarted(request, plan, reply)
-            is LedgerReply.Repeated -> Reply.Replayed(reply.request, reply.answer)
-            is LedgerReply.VersionGone -> pinned?.let { Reply.Refused(request.id, sessionVersionWithdrawn(it)) }
+            is LedgerReply.Replayed -> Reply.Replayed(reply.request, reply.answer)
+            is LedgerReply.VersionUnavailable -> pinned?.let { Reply.Refused(request.id, sessionVersionWithdrawn(it)) }
             else -> Reply.Refused(request.id, intentFailure(reply))
         }
     }
@@ -121,8 +121,8 @@
             route = request.route,
             pinned = pinned,
             estimatedTokens = request.estimatedTokens,
-            oneVersion = (request.session != null && pinned == null) || request.streamed,
-            full = exhaustedVersions,
+            singleVersion = (request.session != null && pinned == null) || request.streamed,
+            fullVersions = exhaustedVersions,
         ),
     )
 
@@ -156,7 +156,7 @@
 
     private fun intentFailure(reply: LedgerReply): Failure = when (reply) {
         is LedgerReply.InProgress -> Failure(ErrorKind.InProgress, Execution.MayHaveRun)
-        is LedgerReply.Unknown -> Failure(ErrorKind.OutcomeUnknown, Execution.MayHaveRun)
+        is LedgerReply.OutcomeUnknown -> Failure(ErrorKind.OutcomeUnknown, Execution.MayHaveRun)
         is LedgerReply.Conflicting -> ErrorKind.ConflictingReuse.notRun()
         else -> ErrorKind.Internal.notRun("unexpected ledger reply to Begin: ${reply::class.simpleName}")
     }
@@ -233,7 +233,7 @@
         step: PlanStep,
     ): Boolean {
         val rating = rateAndRecord(request, answer.version, answer.body, escalated = false) ?: return false
-        return rating >= (step.acceptRating ?: 0.0)
+        return rating >= (step.minAcceptedRating ?: 0.0)
     }
 
     private suspend fun rateAndRecord(
