--- a/control/src/main/kotlin/io/carawaytrack/control/ControlHost.kt
+++ b/control/src/main/kotlin/io/carawaytrack/control/ControlHost.kt
@@ -17,8 +17,8 @@
 import io.carawaytrack.process.openTelemetry
 import io.carawaytrack.telemetry.ControlMetrics
 import io.carawaytrack.telemetry.ControlSources
-import io.carawaytrack.telemetry.LedgerStanding
-import io.carawaytrack.telemetry.LogStanding
+import io.carawaytrack.telemetry.LedgerStatus
+import io.carawaytrack.telemetry.LogStatus
 import io.carawaytrack.telemetry.ObservabilityServer
 import io.carawaytrack.wire.LinkHub
 import io.github.oshai.kotlinlogging.KotlinLogging
@@ -89,16 +89,16 @@
     private fun connectPeers(joined: Map<NodeId, HostPort>): Unit = peers.connect(settings.members + joined)
 
     private fun sources(replica: GroupReplica) = ControlSources(
-        log = { replica.status().toLogStanding() },
-        ledger = ::ledgerStanding,
+        log = { replica.status().toLogStatus() },
+        ledger = ::ledgerStatus,
         configurationNumber = { state.configuration.number },
         holders = registry::statuses,
         upstreams = registry::announcements,
     )
 
-    private fun ledgerStanding(): LedgerStanding {
+    private fun ledgerStatus(): LedgerStatus {
         val size = state.ledger.size()
-        return LedgerStanding(openIntents = size.openRequests.toLong(), sessions = size.sessions.toLong())
+        return LedgerStatus(openIntents = size.openRequests.toLong(), sessions = size.sessions.toLong())
     }
 
     private fun openReplica(): GroupReplica {
@@ -129,5 +129,5 @@
     }
 }
 
-private fun ReplicaStatus.toLogStanding() =
-    LogStanding(leading, term, lastIndex = commitIndex, commitIndex = commitIndex, appliedIndex = appliedIndex)
+private fun ReplicaStatus.toLogStatus() =
+    LogStatus(leading, term, lastIndex = commitIndex, commitIndex = commitIndex, appliedIndex = appliedIndex)
--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/MetricCatalog.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/MetricCatalog.kt
@@ -1,20 +1,20 @@
 /*
- * The one list of metric definitions. Every metric of the system is created from an entry of this list, and the
- * reference page of the metrics is kept equal to it.
+ * The single list of metric definitions. Every metric of the system is created from a definition in this list, and a
+ * test keeps the reference page of the metrics equal to it.
  */
 package io.carawaytrack.telemetry
 
 import io.carawaytrack.model.NodeRole
 
-/** Tells how a metric behaves. */
+/** Describes the Prometheus type of a metric. */
 public enum class MetricType {
-    /** Rises only; restarts at 0 with the process. */
+    /** Only increases; resets to 0 when the process restarts. */
     Counter,
 
-    /** Rises and falls. */
+    /** Increases and decreases. */
     Gauge,
 
-    /** Counts observations by fixed upper bounds. */
+    /** Counts observations in buckets with fixed upper bounds. */
     Histogram,
 
     /** Holds the count and the sum of observations. */
@@ -24,8 +24,8 @@
 /**
  * Defines a metric.
  *
- * @property name as Prometheus shows it, with the unit as suffix
- * @property upperBounds bounds of a histogram's buckets, in the unit of the name
+ * @property name as exposed to Prometheus, with the unit as suffix
+ * @property upperBounds upper bounds of a histogram's buckets, in the unit of the name
  */
 public data class MetricDefinition(
     val name: String,
@@ -53,18 +53,18 @@
 
 /** Lists every metric of the system. */
 public object MetricCatalog {
-    private val requestBounds =
+    private val requestBoundsSeconds =
         listOf(0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 20.0, 30.0, 60.0, 120.0)
 
-    /** Close to the first-token target of 0.78 s, so that the share of answers within it is exact. */
-    private val firstByteBounds =
+    /** Finer near the first-token target of 0.78 s, itself a bound, so that the share of answers within it is exact. */
+    private val firstByteBoundsSeconds =
         listOf(0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.45, 0.6, 0.78, 1.0, 1.5, 2.5, 5.0, 10.0, 30.0)
 
-    /** Close to the target of 32 ms between tokens, so that the share of gaps within it is exact. */
-    private val chunkGapBounds =
+    /** Finer near the target of 32 ms between tokens, itself a bound, so that the share of gaps within it is exact. */
+    private val chunkGapBoundsSeconds =
         listOf(0.001, 0.002, 0.004, 0.008, 0.016, 0.024, 0.032, 0.04, 0.05, 0.064, 0.1, 0.25, 0.5, 1.0, 5.0)
 
-    private val syncBounds =
+    private val syncBoundsSeconds =
         listOf(0.0001, 0.00025, 0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0)
 
     internal val requests =
@@ -79,11 +79,21 @@
     internal val answers =
         counter("caraway_answers_total", "Complete answers by the version that gave them.", ROUTE_LABEL, VERSION_LABEL)
     internal val requestSeconds =
-        histogram("caraway_request_seconds", "Time from request to the end of its answer.", requestBounds, ROUTE_LABEL)
+        histogram(
+            "caraway_request_seconds",
+            "Time from request to the end of its answer.",
+            requestBoundsSeconds,
+            ROUTE_LABEL,
+        )
     internal val firstByteSeconds =
-        histogram("caraway_first_byte_seconds", "Time to the first byte of an answer.", firstByteBounds, ROUTE_LABEL)
+        histogram(
+            "caraway_first_byte_seconds",
+            "Time to the first byte of an answer.",
+            firstByteBoundsSeconds,
+            ROUTE_LABEL,
+        )
     internal val chunkGapSeconds =
-        histogram("caraway_chunk_gap_seconds", "Time between parts of an answer.", chunkGapBounds, ROUTE_LABEL)
+        histogram("caraway_chunk_gap_seconds", "Time between parts of an answer.", chunkGapBoundsSeconds, ROUTE_LABEL)
     internal val attemptsStarted =
         counter(
             "caraway_attempts_started_total",
@@ -111,9 +121,14 @@
             VERSION_LABEL,
         )
     internal val ratings = summary("caraway_answer_rating", "Ratings of answers, 0 to 1.", ROUTE_LABEL, VERSION_LABEL)
-    internal val qualityTarget = gauge("caraway_quality_target", "Rating from 0 to 1 that is asked for.", ROUTE_LABEL)
+    internal val qualityTarget = gauge("caraway_quality_target", "Target rating of answers, 0 to 1.", ROUTE_LABEL)
     internal val exposures =
-        counter("caraway_exposed_requests_total", "Requests sent to a version on trial.", ROLLOUT_LABEL, VERSION_LABEL)
+        counter(
+            "caraway_exposed_requests_total",
+            "Requests that a roll-out sent to its new version.",
+            ROLLOUT_LABEL,
+            VERSION_LABEL,
+        )
 
     internal val configurationNumber = gauge("caraway_configuration_number", "Number of the configuration held.")
     internal val zoneOut =
@@ -121,7 +136,7 @@
     internal val rolloutPercent =
         gauge(
             "caraway_rollout_percent",
-            "Percent of new requests that a roll-out asks for.",
+            "Target percentage of new requests for the new version of a roll-out.",
             ROLLOUT_LABEL,
             VERSION_LABEL,
             PHASE_LABEL,
@@ -139,11 +154,11 @@
     internal val readersEnded =
         counter("caraway_slow_readers_ended_total", "Slow readers whose stream was ended to free memory.")
 
-    internal val permits = gauge("caraway_agent_permits", "Requests that the agent would run at once now.")
+    internal val permits = gauge("caraway_agent_permits", "Current concurrency limit of the agent.")
     internal val running = gauge("caraway_agent_running", "Requests that are running.")
-    internal val queuedTokens = gauge("caraway_agent_queued_tokens", "Tokens still to be worked off.")
+    internal val queuedTokens = gauge("caraway_agent_queued_tokens", "Tokens still to be processed.")
     internal val refusals =
-        counter("caraway_agent_refusals_total", "Attempts refused before the upstream saw them.", KIND_LABEL)
+        counter("caraway_agent_refusals_total", "Attempts refused before they reached the upstream.", KIND_LABEL)
     internal val agentAttempts =
         counter(
             "caraway_agent_attempts_total",
@@ -156,42 +171,44 @@
         histogram(
             "caraway_agent_attempt_seconds",
             "Time the upstream took for an attempt.",
-            requestBounds,
+            requestBoundsSeconds,
             VERSION_LABEL,
         )
     internal val agentFirstByteSeconds =
         histogram(
             "caraway_agent_first_byte_seconds",
             "Time to the first byte of the upstream.",
-            firstByteBounds,
+            firstByteBoundsSeconds,
             VERSION_LABEL,
         )
     internal val slowStarts =
-        counter("caraway_agent_slow_starts_total", "Times that admission began anew at a cold start.")
-    internal val quarantines = counter("caraway_agent_quarantines_total", "Requests quarantined as crashing upstreams.")
+        counter("caraway_agent_slow_starts_total", "Times that admission restarted at a cold start.")
+    internal val quarantines =
+        counter("caraway_agent_quarantines_total", "Requests quarantined because they crash upstreams.")
 
     internal val leading = gauge("caraway_log_leading", "1 while this control host leads.")
     internal val term = gauge("caraway_log_term", "Term of the replicated log.")
     internal val lastIndex = gauge("caraway_log_last_index", "Index of the last entry held.")
     internal val commitIndex = gauge("caraway_log_commit_index", "Index up to which a quorum holds the log.")
     internal val appliedIndex = gauge("caraway_log_applied_index", "Index up to which commands are applied.")
-    internal val syncSeconds = histogram("caraway_log_sync_seconds", "Time of one sync of the log.", syncBounds)
+    internal val syncSeconds = histogram("caraway_log_sync_seconds", "Time of one sync of the log.", syncBoundsSeconds)
     internal val syncedEntries = counter("caraway_log_synced_entries_total", "Log entries made durable.")
     internal val proposals =
         counter("caraway_proposals_total", "Commands proposed, by outcome.", KIND_LABEL, EXECUTION_LABEL)
     internal val proposalSeconds =
-        histogram("caraway_proposal_seconds", "Time from a proposal to its reply.", syncBounds)
+        histogram("caraway_proposal_seconds", "Time from a proposal to its reply.", syncBoundsSeconds)
     internal val heartbeats = counter("caraway_heartbeats_total", "Heartbeats received.", "role")
     internal val changes =
         counter(
             "caraway_configuration_changes_total",
-            "Changes of the configuration asked for, by outcome.",
+            "Requested configuration changes, by outcome.",
             KIND_LABEL,
         )
     internal val holders =
         gauge("caraway_holders", "Processes that hold a configuration, current or behind.", "role", "state")
     internal val upstreams = gauge("caraway_upstreams", "Announced upstreams.", ZONE_LABEL, "state")
-    internal val openIntents = gauge("caraway_ledger_open_intents", "Requests recorded as begun and not yet as ended.")
+    internal val openIntents =
+        gauge("caraway_ledger_open_intents", "Requests recorded as started and not yet as ended.")
     internal val sessions = gauge("caraway_ledger_sessions", "Sessions that are pinned to a version.")
 
     internal val spans = counter("caraway_spans_total", "Ended spans, by whether they were written.", "outcome")
@@ -217,27 +234,29 @@
             EXECUTION_LABEL,
         )
     internal val hostRequestSeconds =
-        histogram("caraway_host_request_seconds", "Time from request to the end.", requestBounds, ROUTE_LABEL)
+        histogram("caraway_host_request_seconds", "Time from request to the end.", requestBoundsSeconds, ROUTE_LABEL)
     internal val hostFirstByteSeconds =
-        histogram("caraway_host_first_byte_seconds", "Time to the first byte.", firstByteBounds, ROUTE_LABEL)
+        histogram("caraway_host_first_byte_seconds", "Time to the first byte.", firstByteBoundsSeconds, ROUTE_LABEL)
     internal val hostAttempts =
         counter("caraway_host_attempts_total", "Ended attempts of a host.", "pool", VERSION_LABEL, "outcome")
     internal val hostConfiguration =
         gauge("caraway_host_configuration_version", "Version of the operator's document in force on a host.")
-    internal val hostViewIndex = gauge("caraway_host_view_index", "Log index of the agreed state that a host knows.")
-    internal val hostUpstreams = gauge("caraway_host_upstreams", "Upstreams that a host knows, by pool.", "pool")
-    internal val hostSilence =
+    internal val hostViewIndex =
+        gauge("caraway_host_view_index", "Log index of the latest agreed state known to a host.")
+    internal val hostUpstreams = gauge("caraway_host_upstreams", "Upstreams known to a host, by pool.", "pool")
+    internal val hostLastContactAge =
         gauge(
             "caraway_host_upstream_silence_seconds",
-            "Longest silence of an upstream that a host knows, by pool.",
+            "Longest time since an upstream last reported to a host, by pool.",
             "pool",
         )
-    internal val hostPeers = gauge("caraway_host_peers", "Hosts that a host counts, itself included.")
+    internal val hostPeers = gauge("caraway_host_peers", "Hosts known to a host, including itself.")
     internal val hostLeading = gauge("caraway_host_leading", "Whether a host leads the core, 0 or 1.")
     internal val hostUnfinished = gauge("caraway_host_unfinished_requests", "Requests that are being served.")
-    internal val hostWaiting = gauge("caraway_host_waiting_requests", "Requests that wait for an upstream with room.")
+    internal val hostWaiting =
+        gauge("caraway_host_waiting_requests", "Requests waiting for an upstream with free capacity.")
 
-    /** All metrics, by what they are for. */
+    /** All metrics, grouped by purpose. */
     public val sections: List<MetricSection> =
         listOf(
             MetricSection(
@@ -312,7 +331,7 @@
                     hostConfiguration,
                     hostViewIndex,
                     hostUpstreams,
-                    hostSilence,
+                    hostLastContactAge,
                     hostPeers,
                     hostLeading,
                     hostUnfinished,
--- a/telemetry/src/test/kotlin/io/carawaytrack/telemetry/MetricsTest.kt
+++ b/telemetry/src/test/kotlin/io/carawaytrack/telemetry/MetricsTest.kt
@@ -1,5 +1,5 @@
 /*
- * Metrics as Prometheus reads them, and the reference page kept equal to the catalog.
+ * Tests the metrics in the Prometheus text format, and guards against a reference page that differs from the catalog.
  */
 package io.carawaytrack.telemetry
 
@@ -166,8 +166,12 @@
                 """caraway_version_state{state="Withdrawn",version="quill@1"} 1.0""",
             ),
         ) { ConfigurationMetrics(it).inForce(configuration(7, setOf("b"), listOf(rollout))) },
-        Case("the lease that remains", listOf("caraway_lease_remaining_seconds 1.5")) { watchLease(it) { 1_500 } },
-        Case("a lease that has run out", listOf("caraway_lease_remaining_seconds 0.0")) { watchLease(it) { -20 } },
+        Case("the remaining lease time", listOf("caraway_lease_remaining_seconds 1.5")) {
+            registerLeaseGauge(it) { 1_500 }
+        },
+        Case("an expired lease", listOf("caraway_lease_remaining_seconds 0.0")) {
+            registerLeaseGauge(it) { -20 }
+        },
         Case(
             "memory held and slow readers",
             listOf(
@@ -228,14 +232,14 @@
                 """caraway_configuration_changes_total{kind="VersionConflict"} 1.0""",
             ),
         ) {
-            val metrics = ControlMetrics(it, ControlSources(log = { LogStanding(true, 3, 12, 11, 10) }))
+            val metrics = ControlMetrics(it, ControlSources(log = { LogStatus(true, 3, 12, 11, 10) }))
             metrics.synced(entries = 5, elapsedNanos = 2 * MILLISECOND_NANOS)
             metrics.proposed(null, Execution.Ran, MILLISECOND_NANOS)
             metrics.heartbeat(NodeRole.Agent)
             metrics.changeEnded(ErrorKind.VersionConflict)
         },
         Case(
-            "who is behind, which upstreams are there, and the ledger",
+            "holders by state, announced upstreams and the ledger",
             listOf(
                 """caraway_holders{role="Agent",state="current"} 1.0""",
                 """caraway_holders{role="Entry",state="behind"} 2.0""",
@@ -248,7 +252,7 @@
             ControlMetrics(
                 it,
                 ControlSources(
-                    ledger = { LedgerStanding(openIntents = 2, sessions = 9) },
+                    ledger = { LedgerStatus(openIntents = 2, sessions = 9) },
                     configurationNumber = { 5 },
                     holders = {
                         listOf(
@@ -280,17 +284,17 @@
 
 class MetricsTest {
     @TestFactory
-    fun `metrics show`(): List<DynamicTest> = (entryCases + sharedCases + agentCases + controlCases).map { case ->
+    fun `metrics report`(): List<DynamicTest> = (entryCases + sharedCases + agentCases + controlCases).map { case ->
         DynamicTest.dynamicTest(case.name) {
             val registry = PrometheusRegistry()
             case.act(registry)
-            val shown = registry.text().lines()
-            expectThat(case.lines).all { get { this in shown }.describedAs("shown in $shown").isEqualTo(true) }
+            val scraped = registry.text().lines()
+            expectThat(case.lines).all { get { this in scraped }.describedAs("contained in $scraped").isEqualTo(true) }
         }
     }
 
     @Test
-    fun `a configuration replaces the zones and roll-outs of the one before`() {
+    fun `a configuration replaces the zones and roll-outs of the previous one`() {
         val registry = PrometheusRegistry()
         val metrics = ConfigurationMetrics(registry)
         metrics.inForce(configuration(1, setOf("a", "b"), listOf(rollout)))
@@ -303,7 +307,7 @@
     }
 
     @Test
-    fun `distinct label values are bounded and make room when the tables change`() {
+    fun `distinct label values are bounded and stale ones are removed when the tables change`() {
         val registry = PrometheusRegistry()
         val metrics = EntryMetrics(registry)
         val versions = (1..1_000).map { ModelVersion("quill", "$it") }
@@ -332,16 +336,16 @@
     }
 
     @Test
-    fun `a host registers exactly the metrics that the catalog lists for it, and renders what it believes`() {
+    fun `a host registers exactly the metrics that the catalog lists for it, and renders its status`() {
         val registry = PrometheusRegistry()
         val pool = PoolName("llm")
         val metrics =
             HostMetrics(registry) {
-                HostBeliefs(
+                HostStatus(
                     configurationVersion = 7,
                     viewIndex = 12,
                     upstreams = mapOf(pool to 3),
-                    silenceMillis = mapOf(pool to 1_500),
+                    lastContactAgeMillis = mapOf(pool to 1_500),
                     peers = 8,
                     leading = true,
                     unfinished = 2,
@@ -349,7 +353,7 @@
                 )
             }
         metrics.requestEnded(null, "drafts", ErrorKind.PoolExhausted, Execution.NotRun, 250, firstByteMillis = null)
-        metrics.attemptEnded(pool, "v1", good = false)
+        metrics.attemptEnded(pool, "v1", succeeded = false)
         val listed = MetricCatalog.sections.filter { NodeRole.Host in it.roles }.flatMap { it.metrics }
         expectThat(registry.scrape().map { it.metadata.name })
             .containsExactlyInAnyOrder(listed.map { it.name.removeSuffix("_total") })
@@ -368,7 +372,7 @@
             else -> ControlMetrics(registry)
         }
         if (role != NodeRole.Control) {
-            watchLease(registry) { 0 }
+            registerLeaseGauge(registry) { 0 }
             MemoryMetrics(registry, budgetBytes = 0) { 0 }
         }
         val names = mutableSetOf<String>()
@@ -377,7 +381,7 @@
     }
 
     @TestFactory
-    fun `the definition is well formed of`(): List<DynamicTest> =
+    fun `the definition is well formed for`(): List<DynamicTest> =
         MetricCatalog.sections.flatMap { it.metrics }.map { definition ->
             DynamicTest.dynamicTest(definition.name) {
                 val isCounter = definition.type == MetricType.Counter
@@ -407,7 +411,7 @@
         val page = Files.readString(Path.of("..", "docs", "METRICS.md"))
         expectThat(
             page,
-        ).describedAs("docs/METRICS.md, to be replaced by telemetry/target/METRICS.md").isEqualTo(expected)
+        ).describedAs("docs/METRICS.md, to be replaced with telemetry/target/METRICS.md").isEqualTo(expected)
     }
 }
 
