--- a/wire/src/main/kotlin/io/carawaytrack/wire/Link.kt
+++ b/wire/src/main/kotlin/io/carawaytrack/wire/Link.kt
@@ -52,10 +52,10 @@
 public const val PING_INTERVAL_MILLIS: Long = 1_000
 
 /** Silence after which a link closes itself, in milliseconds. */
-public const val SILENCE_LIMIT_MILLIS: Long = 4_000
+public const val PEER_TIMEOUT_MILLIS: Long = 4_000
 
 /** Bound on the sending of what is queued when a process stops, in milliseconds. */
-public const val DRAIN_LIMIT_MILLIS: Long = 2_000
+public const val DRAIN_TIMEOUT_MILLIS: Long = 2_000
 
 private const val OUTBOX_MESSAGES = 256
 private const val MESSAGES_PER_FLUSH = 32
@@ -86,7 +86,7 @@
         serve: suspend (Link) -> Unit,
     ): Int
 
-    /** Sends what is queued on every link, then closes the link; waits at most [DRAIN_LIMIT_MILLIS]. */
+    /** Sends what is queued on every link, then closes the link; waits at most [DRAIN_TIMEOUT_MILLIS]. */
     public suspend fun drain()
 }
 
@@ -173,7 +173,7 @@
     }
 
     override suspend fun drain() {
-        withTimeoutOrNull(DRAIN_LIMIT_MILLIS) { links.toList().forEach { it.drain() } }
+        withTimeoutOrNull(DRAIN_TIMEOUT_MILLIS) { links.toList().forEach { it.drain() } }
     }
 
     private suspend fun guarded(agree: suspend () -> Result<PeerIdentity, Failure>): Result<PeerIdentity, Failure> =
@@ -290,7 +290,7 @@
         while (!closed.get()) {
             delay(PING_INTERVAL_MILLIS)
             val silentMillis = nowMillis() - heardAtMillis
-            if (silentMillis > SILENCE_LIMIT_MILLIS) {
+            if (silentMillis > PEER_TIMEOUT_MILLIS) {
                 logger.warn { "closed the link to ${peer.node}: expected a message, silent for $silentMillis ms" }
                 close()
             }
