--- a/model/src/main/kotlin/io/carawaytrack/model/ErrorKind.kt
+++ b/model/src/main/kotlin/io/carawaytrack/model/ErrorKind.kt
@@ -1,12 +1,12 @@
 /*
- * The closed list of error kinds and the one table from a kind to its answer. Every refusal that a caller, an operator
- * or a peer process sees is one of these; the status, the retry hint and the text come from here and nowhere else.
+ * The closed list of error kinds. Every error that a caller, an operator or a peer process receives is one of these;
+ * its HTTP status, its retry hint and its default text are defined only here.
  */
 package io.carawaytrack.model
 
 import kotlinx.serialization.Serializable
 
-/** Says whether an upstream may have executed the request that is being refused. */
+/** Describes whether an upstream may have executed a request that failed. */
 @Serializable
 public enum class Execution {
     /** No upstream has received any byte of the request, and none can receive one later. */
@@ -20,8 +20,11 @@
 }
 
 /**
- * Lists every error kind with the HTTP status of its answer, whether the same request may be sent again as it is, and
- * the explanation that goes into the body.
+ * Lists every error kind.
+ *
+ * @property status HTTP status of the response
+ * @property retryable whether the client may retry the unchanged request
+ * @property explanation default text of the response body
  */
 @Serializable
 public enum class ErrorKind(
@@ -39,7 +42,7 @@
     ConflictingReuse(409, false, "the idempotency key was used before with another request"),
     InProgress(409, true, "a request with this idempotency key is still running"),
     OutcomeUnknown(409, false, "the request may have run; it is not run again"),
-    AnswerNotKept(409, false, "the request ran; its answer is too large to be kept for a resend"),
+    AnswerNotKept(409, false, "the request ran; its answer is too large to be stored for a retry"),
     VersionConflict(409, false, "another change was accepted first"),
     BodyTooLarge(413, false, "the body is over the limit"),
     InvalidTables(422, false, "the tables contain faults"),
@@ -47,7 +50,7 @@
     NotLeader(421, true, "this control host does not lead"),
     OrganisationLimit(429, true, "the organisation is over its share"),
     SessionVersionWithdrawn(410, false, "the version of this session has been withdrawn"),
-    PoolExhausted(503, true, "no upstream of the pool has room"),
+    PoolExhausted(503, true, "no upstream of the pool has free capacity"),
     NoHealthyUpstream(503, true, "no healthy upstream serves an allowed version"),
     ControlUnavailable(503, true, "the control hosts could not be reached; no new work is accepted"),
     ShuttingDown(503, true, "the process is shutting down"),
@@ -66,11 +69,11 @@
 }
 
 /**
- * Describes one refusal.
+ * Describes one error.
  *
- * @property execution whether the request ran; `NotRun` is only set where no upstream can have received it
- * @property detail what was expected, what came and, for a timeout, how long it waited
- * @property retryAfterMillis earliest moment at which a retry is useful, or null when there is no hint
+ * @property execution whether the request was executed; `NotRun` only if no upstream can have received it
+ * @property detail what was expected, what was received and, for a timeout, how long the sender waited
+ * @property retryAfterMillis delay before a retry is useful, or null if unknown
  */
 @Serializable
 public data class Failure(
@@ -80,7 +83,7 @@
     val retryAfterMillis: Long? = null,
 )
 
-/** Creates a failure of which it is certain that nothing ran. */
+/** Returns a failure of this kind for a request that no upstream has received. */
 public fun ErrorKind.notRun(
     detail: String = explanation,
     retryAfterMillis: Long? = null,
