--- a/model/src/main/kotlin/io/carawaytrack/model/Administration.kt
+++ b/model/src/main/kotlin/io/carawaytrack/model/Administration.kt
@@ -1,13 +1,13 @@
 /*
- * The messages of the administration API, shared by the control hosts that answer them and by the command line that
- * sends them. They travel as JSON over HTTP.
+ * Messages of the administration API, sent as JSON over HTTP and shared by the control hosts and the command line
+ * client.
  */
 package io.carawaytrack.model
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** Describes one change of what is in force. */
+/** Describes one change of the configuration. */
 @Serializable
 public sealed interface ConfigurationChange {
     /** Replaces both tables at once. */
@@ -17,7 +17,7 @@
         val tables: Tables,
     ) : ConfigurationChange
 
-    /** Takes an availability zone out of service or brings it back. */
+    /** Takes an availability zone out of service, or puts it back into service. */
     @Serializable
     @SerialName("set-zone")
     public data class SetZone(
@@ -25,7 +25,7 @@
         val inService: Boolean,
     ) : ConfigurationChange
 
-    /** Takes one upstream out of service or brings it back. */
+    /** Takes one upstream out of service, or puts it back into service. */
     @Serializable
     @SerialName("set-upstream")
     public data class SetUpstream(
@@ -33,7 +33,7 @@
         val inService: Boolean,
     ) : ConfigurationChange
 
-    /** Sets which work a version may receive. */
+    /** Sets which requests a version may receive. */
     @Serializable
     @SerialName("set-version")
     public data class SetVersion(
@@ -48,7 +48,7 @@
         val rollout: Rollout,
     ) : ConfigurationChange
 
-    /** Moves the roll-out [name] to another phase or percentage. */
+    /** Changes the phase of the roll-out [name], and its percentage if [percent] is set. */
     @Serializable
     @SerialName("advance-rollout")
     public data class AdvanceRollout(
@@ -57,7 +57,7 @@
         val percent: Int? = null,
     ) : ConfigurationChange
 
-    /** Restores what was in force at [number], as a new change with a new number. */
+    /** Restores the configuration [number] as a new change with a new number. */
     @Serializable
     @SerialName("rollback")
     public data class RollbackTo(
@@ -66,10 +66,10 @@
 }
 
 /**
- * Asks for one change.
+ * Requests one change.
  *
- * @property operationId chosen by the operator's client; a resend with the same one gets the first answer
- * @property baseNumber number of the configuration that the operator saw; null applies to whatever is in force
+ * @property operationId chosen by the operator's client; a retry with the same identifier receives the first answer
+ * @property baseNumber number of the configuration that the operator has seen; null to change whichever is in force
  */
 @Serializable
 public data class ChangeRequest(
@@ -79,7 +79,12 @@
     val change: ConfigurationChange,
 )
 
-/** Answers an accepted change with the number under which it is in force. */
+/**
+ * Confirms an accepted change.
+ *
+ * @property number number of the configuration that contains the change
+ * @property repeated whether the change had already been accepted by an earlier attempt
+ */
 @Serializable
 public data class ChangeReply(
     val number: Long,
@@ -95,7 +100,7 @@
     val change: ConfigurationChange,
 )
 
-/** Tells what a process of the system holds. */
+/** Reports which configuration a lease holder has. */
 @Serializable
 public data class HolderStatus(
     val node: NodeId,
@@ -105,7 +110,7 @@
     val ageMillis: Long,
 )
 
-/** Tells how a control host stands. */
+/** Reports the state of a control host. */
 @Serializable
 public data class ControlStatus(
     val node: NodeId,
@@ -114,7 +119,7 @@
     val appliedIndex: Long,
 )
 
-/** Answers `status`: what is in force, where, and who is behind. */
+/** Answers `status`: the configuration in force, and the configuration that each control host and holder has. */
 @Serializable
 public data class StatusReport(
     val configurationNumber: Long,
@@ -128,14 +133,14 @@
     val rollouts: List<Rollout>,
 )
 
-/** Tells what a process of the system does. */
+/** Describes the role of a process in the system. */
 @Serializable
 public enum class NodeRole { Entry, Agent, Control, Tool, Host }
 
 /**
- * Charges an organisation for one request.
+ * Records what an organisation is charged for one request.
  *
- * @property attempts versions that worked on the request, in order; more than one for a cascade
+ * @property attempts versions that processed the request, in order; more than one for a cascade
  */
 @Serializable
 public data class Bill(
@@ -147,13 +152,13 @@
     val cost: Double,
 )
 
-/** Says what is to be done with a member of the control group. */
+/** Describes a change of the control group's members. */
 @Serializable
 public enum class MemberAction {
     /** Adds a new host as a learner, which receives the log and does not vote. */
     Add,
 
-    /** Makes a learner that has caught up a voter. */
+    /** Turns a learner whose log is up to date into a voter. */
     Promote,
 
     /** Removes a host. */
@@ -161,9 +166,9 @@
 }
 
 /**
- * Asks for one change of the control group.
+ * Requests one change of the control group.
  *
- * @property address link address of a host to be added
+ * @property address link address of the host to add
  */
 @Serializable
 public data class MemberRequest(
--- a/model/src/main/kotlin/io/carawaytrack/model/Configuration.kt
+++ b/model/src/main/kotlin/io/carawaytrack/model/Configuration.kt
@@ -1,18 +1,18 @@
 /*
- * What the operators have set: the two tables, joined by pool names, and the states that they change in service. A
- * [Configuration] is immutable; every accepted change makes a new one whose number is higher by one.
+ * The configuration set by operators: the two tables, joined by pool names, and the states that are changed at run
+ * time. A [Configuration] is immutable; every accepted change creates a new one whose number is higher by one.
  */
 package io.carawaytrack.model
 
 import kotlinx.serialization.Serializable
 
-/** Tells how calls of a route or pool are treated. */
+/** Describes how the requests of a route or pool are handled. */
 @Serializable
 public enum class ServiceKind {
-    /** Requests run on a model engine and are answered by tokens. */
+    /** Requests run on a model engine, which answers with tokens. */
     Model,
 
-    /** Requests are passed through to a plain service. */
+    /** Requests are proxied to a plain service. */
     Service,
 }
 
@@ -25,7 +25,7 @@
  *
  * @property keySha256 hex SHA-256 digests of its bearer keys
  * @property allows patterns `model@version`; either part may be `*`
- * @property share weight of the organisation when upstreams are scarce
+ * @property share weight of the organisation when capacity is scarce
  */
 @Serializable
 public data class Organisation(
@@ -34,11 +34,11 @@
     val allows: List<String>,
     val share: Int = 1,
 ) {
-    /** Returns whether the organisation's callers may run on [version]. */
+    /** Returns whether requests of the organisation may run on [version]. */
     public fun allows(version: ModelVersion): Boolean = allows.any { version.matches(it) }
 }
 
-/** Returns whether this version matches [pattern], `model@version` with `*` for any part. */
+/** Returns whether this version matches [pattern], a `model@version` in which either part may be `*`. */
 public fun ModelVersion.matches(pattern: String): Boolean {
     val wanted = ModelVersion.parse(pattern) ?: return false
     val modelMatches = wanted.model == "*" || wanted.model == model
@@ -48,12 +48,12 @@
 /**
  * Describes a row of the routes table.
  *
- * @property pathPrefix prefix of the request path that the route takes
- * @property model the `model` field that callers send, null for a plain service
+ * @property pathPrefix path prefix of the requests that the route matches
+ * @property model value of the `model` field that the route matches, null for a plain service
  * @property organisations names, or `*` for all
- * @property qualityTarget expected rating from 0 to 1 that the chosen plan must reach
- * @property repeatableMethods methods that may be sent to an upstream more than once
- * @property timeoutMillis bound on the whole request
+ * @property qualityTarget minimum expected rating of the chosen plan, from 0 to 1
+ * @property repeatableMethods methods whose requests may be sent to an upstream more than once
+ * @property timeoutMillis timeout of the complete request
  */
 @Serializable
 public data class Route(
@@ -74,9 +74,9 @@
  * Describes one version that a pool may use.
  *
  * @property costPerKiloToken price of a thousand tokens, in the operator's currency
- * @property expectedQuality rating from 0 to 1 assumed before any rating has come in
- * @property weight share of a pool's requests among versions of equal cost
- * @property upstreams identifiers of upstreams that may be used, empty for all that announce the version
+ * @property expectedQuality rating from 0 to 1 that is assumed until the first rating is received
+ * @property weight share of the pool's requests relative to other versions of equal cost
+ * @property upstreams upstreams that may be used, empty for all that announce the version
  */
 @Serializable
 public data class PoolMember(
@@ -87,7 +87,7 @@
     val upstreams: List<UpstreamId> = emptyList(),
 )
 
-/** Describes a row of the pools table; the members of included pools count as its own. */
+/** Describes a row of the pools table; the members of included pools are also members of this pool. */
 @Serializable
 public data class Pool(
     val name: PoolName,
@@ -96,7 +96,7 @@
     val includes: List<PoolName> = emptyList(),
 )
 
-/** Holds the two tables that operators edit; [organisations] stand in the routes table's file. */
+/** Holds the two tables that operators edit; [organisations] are part of the routes table's file. */
 @Serializable
 public data class Tables(
     val organisations: List<Organisation> = emptyList(),
@@ -104,27 +104,27 @@
     val pools: List<Pool> = emptyList(),
 )
 
-/** Tells which work a version may receive. */
+/** Describes which requests a version may receive. */
 @Serializable
 public enum class VersionState {
-    /** Receives all work. */
+    /** Receives all requests. */
     Serving,
 
-    /** Receives requests of the sessions that started on it, and no others. */
+    /** Receives only requests of sessions that started on this version. */
     Draining,
 
-    /** Receives nothing. */
+    /** Receives no requests. */
     Withdrawn,
 }
 
-/** Tells where a roll-out stands. */
+/** Describes the progress of a roll-out. */
 @Serializable
 public enum class RolloutPhase { Running, Paused, Completed, RolledBack }
 
 /**
- * Describes the move of a pool's requests from one version to another.
+ * Describes the gradual shift of a pool's requests from one version to another.
  *
- * @property percent share of new requests, 0 to 100, that go to [to]
+ * @property percent share of new requests that are sent to [to], from 0 to 100
  */
 @Serializable
 public data class Rollout(
@@ -137,9 +137,9 @@
 )
 
 /**
- * Holds everything that is in force.
+ * Holds the complete configuration in force.
  *
- * @property number rises by one with every accepted change and never falls
+ * @property number increases by one with every accepted change and never decreases
  * @property versionStates states other than [VersionState.Serving], by `model@version`
  */
 @Serializable
@@ -154,15 +154,18 @@
     /** Returns the state of [version]. */
     public fun stateOf(version: ModelVersion): VersionState = versionStates[version.toString()] ?: VersionState.Serving
 
-    /** Returns whether an upstream in [zone] may receive new work. */
+    /** Returns whether [upstream] in [zone] may receive new requests. */
     public fun inService(
         upstream: UpstreamId,
         zone: ZoneName,
     ): Boolean = zone !in zonesOut && upstream !in upstreamsOut
 }
 
-/** Bound within which a change is in force everywhere and a part taken out receives no new work, in milliseconds. */
+/**
+ * Time within which a change is in force everywhere, in milliseconds; after it, zones and upstreams that were taken out
+ * of service receive no new requests.
+ */
 public const val IN_FORCE_BOUND_MILLIS: Long = 5_000
 
-/** Duration of a lease, in milliseconds; it leaves the rest of the in-force bound for commit and delivery. */
+/** Duration of a lease, in milliseconds; the rest of [IN_FORCE_BOUND_MILLIS] is left for commit and delivery. */
 public const val LEASE_MILLIS: Long = 3_000
--- a/model/src/main/kotlin/io/carawaytrack/model/Names.kt
+++ b/model/src/main/kotlin/io/carawaytrack/model/Names.kt
@@ -1,13 +1,13 @@
 /*
- * The identifiers that every module shares. Each is a value class over a string, so that an organisation cannot be
- * passed where an upstream is meant, and so that on the wire it costs no more than its text.
+ * Identifiers shared by all modules. Each is a value class over a string, so that the compiler rejects an organisation
+ * where an upstream is expected, and the serialized form is the plain string.
  */
 package io.carawaytrack.model
 
 import kotlinx.serialization.Serializable
 import kotlin.jvm.JvmInline
 
-/** Names an organisation whose callers share keys, allowances and a bill. */
+/** Names an organisation, whose callers share keys, allowed versions and billing. */
 @Serializable
 @JvmInline
 public value class OrganisationName(
@@ -16,7 +16,7 @@
     override fun toString(): String = value
 }
 
-/** Names an availability zone, an area whose hosts fail and are taken out together. */
+/** Names an availability zone, whose hosts can fail together and are taken out of service together. */
 @Serializable
 @JvmInline
 public value class ZoneName(
@@ -25,7 +25,7 @@
     override fun toString(): String = value
 }
 
-/** Names a pool, the row of the pools table that a route points to. */
+/** Names a pool, the row of the pools table that a route refers to. */
 @Serializable
 @JvmInline
 public value class PoolName(
@@ -34,7 +34,7 @@
     override fun toString(): String = value
 }
 
-/** Identifies one upstream, the back end that an agent stands beside. */
+/** Identifies one upstream, the back end that an agent runs beside. */
 @Serializable
 @JvmInline
 public value class UpstreamId(
@@ -52,7 +52,7 @@
     override fun toString(): String = value
 }
 
-/** Identifies one request of a caller; a resend under the same idempotency key keeps it. */
+/** Identifies one request of a caller; a retry with the same idempotency key keeps the identifier. */
 @Serializable
 @JvmInline
 public value class RequestId(
@@ -61,7 +61,7 @@
     override fun toString(): String = value
 }
 
-/** Identifies a session of an organisation; its requests stay on one version. */
+/** Identifies a session of an organisation; all its requests run on the same version. */
 @Serializable
 @JvmInline
 public value class SessionId(
@@ -76,14 +76,14 @@
     val model: String,
     val version: String,
 ) {
-    /** Renders as `model@version`, the form that tables, headers and logs use. */
+    /** Returns `model@version`, the form used in tables, headers and logs. */
     override fun toString(): String = "$model@$version"
 
     public companion object {
-        /** Stands as the version of every plain service. */
+        /** Version of every plain service. */
         public const val SERVICE_VERSION: String = "service"
 
-        /** Reads `model@version`; returns null when either part is missing. */
+        /** Parses `model@version`; returns null if either part is missing. */
         public fun parse(text: String): ModelVersion? {
             val parts = text.split('@')
             if (parts.size != 2 || parts.any(String::isBlank)) return null
--- a/model/src/main/kotlin/io/carawaytrack/model/PoolMembership.kt
+++ b/model/src/main/kotlin/io/carawaytrack/model/PoolMembership.kt
@@ -1,22 +1,25 @@
 /*
- * What a pool's name stands for once the pools that it includes are counted in.
+ * Resolves pools together with the pools that they include.
  */
 package io.carawaytrack.model
 
-/** Returns the pool [name] and those it includes at any depth; ends also when they include each other. */
+/** Returns the pool [name] and the pools that it includes directly or indirectly; cyclic includes are allowed. */
 public fun Tables.reachableFrom(name: PoolName): List<Pool> {
-    val reached = linkedMapOf<PoolName, Pool>()
-    val open = ArrayDeque(listOf(name))
-    while (open.isNotEmpty()) {
-        val next = open.removeFirst()
+    val reachable = linkedMapOf<PoolName, Pool>()
+    val pending = ArrayDeque(listOf(name))
+    while (pending.isNotEmpty()) {
+        val next = pending.removeFirst()
         val pool = pools.firstOrNull { it.name == next }
-        if (pool == null || next in reached) continue
-        reached[next] = pool
-        open += pool.includes
+        if (pool == null || next in reachable) continue
+        reachable[next] = pool
+        pending += pool.includes
     }
-    return reached.values.toList()
+    return reachable.values.toList()
 }
 
-/** Lists the versions of [pool] and of the pools that it includes; the nearest description of a version counts. */
+/**
+ * Returns the members of [pool] and of the pools that it includes. If a version occurs several times, the member with
+ * the shortest path of includes is used.
+ */
 public fun Tables.membersOf(pool: PoolName): List<PoolMember> =
     reachableFrom(pool).flatMap(Pool::members).distinctBy(PoolMember::version)
--- a/model/src/main/kotlin/io/carawaytrack/model/Suspects.kt
+++ b/model/src/main/kotlin/io/carawaytrack/model/Suspects.kt
@@ -1,11 +1,11 @@
 /*
- * What agents tell each other, by way of the control hosts, about requests at which upstreams have died.
+ * Reports of requests that were in flight when upstreams crashed. Agents exchange them through the control hosts.
  */
 package io.carawaytrack.model
 
 import kotlinx.serialization.Serializable
 
-/** Counts the deaths of upstreams at which the request with [fingerprint] was in flight. */
+/** Counts the upstream crashes during which the request with [fingerprint] was in flight. */
 @Serializable
 public data class SuspectCount(
     val fingerprint: Long,
@@ -13,9 +13,9 @@
 )
 
 /**
- * Reports all that one agent has seen.
+ * Reports all crashes that one agent has observed.
  *
- * @property sequence rises with each change; a report with a lower one is out of date
+ * @property sequence increases with each change; a report with a lower number is out of date
  */
 @Serializable
 public data class SuspectReport(
--- a/model/src/main/kotlin/io/carawaytrack/model/Upstream.kt
+++ b/model/src/main/kotlin/io/carawaytrack/model/Upstream.kt
@@ -1,17 +1,17 @@
 /*
- * What an agent tells about the upstream beside it. Nothing lists the upstreams of a deployment: they are those whose
- * agents have announced them within the last few seconds.
+ * The state of an upstream as reported by its agent. Upstreams are not configured anywhere: a deployment consists of
+ * those whose agents have announced them within the last few seconds.
  */
 package io.carawaytrack.model
 
 import kotlinx.serialization.Serializable
 
 /**
- * Reports how busy an upstream is, as its agent sees it.
+ * Describes the load of an upstream as measured by its agent.
  *
- * @property permits requests that the agent would run at once now; rises as the upstream proves warm
- * @property running requests that are running
- * @property queuedTokens prompt and answer tokens still to be worked off
+ * @property permits current concurrency limit of the agent; increases while the upstream warms up
+ * @property running requests in flight
+ * @property queuedTokens prompt and answer tokens that remain to be processed
  */
 @Serializable
 public data class UpstreamLoad(
@@ -23,9 +23,9 @@
 /**
  * Announces an upstream.
  *
- * @property agentHost IP number on which the agent takes requests
- * @property incarnation rises with each start of the agent, so that reports of an earlier one are told apart
- * @property leaving true from the moment a planned stop begins
+ * @property agentHost IP address on which the agent accepts requests
+ * @property incarnation increases with each start of the agent, so that reports of an earlier run can be discarded
+ * @property leaving whether a planned shutdown has begun
  */
 @Serializable
 public data class Announcement(
@@ -40,10 +40,10 @@
 )
 
 /**
- * Lists the upstreams that have announced themselves.
+ * Lists the announced upstreams.
  *
- * @property complete false while a new leader has not yet waited for every agent's next heartbeat; then a holder adds
- * to what it knows and removes nothing
+ * @property complete false until a new leader has waited for the next heartbeat of every agent; an incomplete list may
+ * add upstreams to those that a lease holder already knows, but must not remove any
  */
 @Serializable
 public data class Membership(
