--- a/model/src/test/kotlin/io/carawaytrack/model/ErrorKindTest.kt
+++ b/model/src/test/kotlin/io/carawaytrack/model/ErrorKindTest.kt
@@ -1,5 +1,5 @@
 /*
- * The error table as callers see it: each kind has one status in the range that its meaning asks for.
+ * Guards against an error kind without an HTTP error status or without an explanation.
  */
 package io.carawaytrack.model
 
@@ -12,7 +12,7 @@
 class ErrorKindTest {
     @ParameterizedTest
     @EnumSource(ErrorKind::class)
-    fun `every kind answers with a client or server error and an explanation`(kind: ErrorKind) {
+    fun `every kind has the status of a client or server error and an explanation`(kind: ErrorKind) {
         expectThat(kind.status).isIn(400..599)
         expectThat(kind.explanation).isNotBlank()
     }
--- a/model/src/test/kotlin/io/carawaytrack/model/ErrorReferenceTest.kt
+++ b/model/src/test/kotlin/io/carawaytrack/model/ErrorReferenceTest.kt
@@ -1,5 +1,5 @@
 /*
- * The reference of error kinds, kept equal to the closed list.
+ * Guards against a reference page of the error kinds that differs from the code.
  */
 package io.carawaytrack.model
 
--- a/model/src/test/kotlin/io/carawaytrack/model/ModelVersionTest.kt
+++ b/model/src/test/kotlin/io/carawaytrack/model/ModelVersionTest.kt
@@ -1,5 +1,5 @@
 /*
- * Patterns by which an organisation allows versions.
+ * Matches versions against the patterns that an organisation allows.
  */
 package io.carawaytrack.model
 
@@ -20,7 +20,7 @@
         "quill, false",
         "quill@1@1, false",
     )
-    fun `a version matches a pattern only where both parts do`(
+    fun `a version matches a pattern if both parts match`(
         pattern: String,
         expected: Boolean,
     ) {
