--- a/wire/src/main/kotlin/io/carawaytrack/wire/FrameCodec.kt
+++ b/wire/src/main/kotlin/io/carawaytrack/wire/FrameCodec.kt
@@ -1,5 +1,5 @@
 /*
- * Turns messages into frames and back. A frame is a length of four bytes, big-endian, followed by one message in CBOR.
+ * Encodes and decodes frames. A frame consists of a length prefix of four bytes, big-endian, and one message in CBOR.
  */
 @file:OptIn(kotlinx.serialization.ExperimentalSerializationApi::class)
 
@@ -21,22 +21,22 @@
 import kotlinx.io.EOFException
 import kotlinx.serialization.cbor.Cbor
 
-/** Largest frame that a peer may send once it has proved who it is, in bytes. */
+/** Maximum size of a frame from an authenticated peer, without the length prefix, in bytes. */
 public const val MAX_FRAME_BYTES: Int = 16 * 1024 * 1024
 
-/** Largest frame during the handshake, in bytes. */
+/** Maximum size of a frame during the handshake, without the length prefix, in bytes. */
 public const val MAX_HANDSHAKE_FRAME_BYTES: Int = 4 * 1024
 
 private val cbor = Cbor { ignoreUnknownKeys = true }
 
-/** Encodes this message as CBOR, without the frame's length. */
+/** Encodes this message as CBOR, without the length prefix of a frame. */
 public fun Message.encode(): ByteArray = cbor.encodeToByteArray(Message.serializer(), this)
 
-/** Decodes [bytes]; fails with `ProtocolViolation` when they are no message of this protocol. */
+/** Decodes [bytes]; fails with `ProtocolViolation` if they are not a message of this protocol. */
 public fun decodeMessage(bytes: ByteArray): Result<Message, Failure> =
-    // The decoder reports malformed input by exceptions of many kinds, index errors among them.
+    // The decoder throws many kinds of exceptions on malformed input, including index errors.
     runCatching { cbor.decodeFromByteArray(Message.serializer(), bytes) }
-        .mapError { violation("a message of protocol $PROTOCOL_VERSION", it.message) }
+        .mapError { protocolViolation("a message of protocol $PROTOCOL_VERSION", it.message) }
 
 internal suspend fun ByteWriteChannel.writeFrame(message: Message) {
     val payload = message.encode()
@@ -44,7 +44,7 @@
     writeByteArray(payload)
 }
 
-/** Reads one frame; returns null at the end of the stream. */
+/** Reads one frame, or returns null at the end of the stream. */
 internal suspend fun ByteReadChannel.readFrame(maxBytes: Int): Result<Message, Failure>? {
     val size =
         try {
@@ -52,11 +52,11 @@
         } catch (_: EOFException) {
             return null
         }
-    if (size !in 1..maxBytes) return Err(violation("a frame of 1 to $maxBytes bytes", "$size bytes"))
+    if (size !in 1..maxBytes) return Err(protocolViolation("a frame of 1 to $maxBytes bytes", "$size bytes"))
     return decodeMessage(readByteArray(size))
 }
 
-internal fun violation(
+internal fun protocolViolation(
     expected: String,
     actual: String?,
 ): Failure = ErrorKind.ProtocolViolation.notRun("expected $expected, got $actual")
--- a/wire/src/main/kotlin/io/carawaytrack/wire/Handshake.kt
+++ b/wire/src/main/kotlin/io/carawaytrack/wire/Handshake.kt
@@ -1,6 +1,6 @@
 /*
- * The handshake by which both ends of a link prove that they know the shared secret, without sending it. Each proof is
- * an HMAC over both sides' numbers used once and the prover's identity, so that a recorded one is of no use later.
+ * Mutual authentication of a link. Both sides prove knowledge of the shared secret without sending it: each proof is an
+ * HMAC over the nonces of both sides and the node id of the prover, so that a recorded proof cannot be replayed.
  */
 package io.carawaytrack.wire
 
@@ -28,7 +28,7 @@
     val zone: ZoneName,
 )
 
-/** Holds the secret that all processes of a deployment share; its text never shows in logs. */
+/** Holds the secret shared by all processes of a deployment; [toString] hides it, so that it cannot reach the logs. */
 public class SharedSecret(
     private val bytes: ByteArray,
 ) {
@@ -57,7 +57,7 @@
 
 private fun newNonce(): ByteArray = ByteArray(NONCE_BYTES).also(secureRandom::nextBytes)
 
-/** Proves this side to the acceptor and checks the acceptor's proof. */
+/** Performs the connecting side of the handshake: sends this side's proof and verifies that of the acceptor. */
 internal suspend fun connectHandshake(
     read: ByteReadChannel,
     write: ByteWriteChannel,
@@ -65,18 +65,18 @@
     secret: SharedSecret,
 ): Result<PeerIdentity, Failure> {
     val challenge = read.expect<Challenge>().getOrElse { return Err(it) }
-    if (challenge.protocol != PROTOCOL_VERSION) return Err(wrongVersion(challenge.protocol))
+    if (challenge.protocol != PROTOCOL_VERSION) return Err(versionMismatch(challenge.protocol))
     val nonce = newNonce()
     val proof = secret.proof(CONNECTOR, self.node, challenge.nonce, nonce)
     write.writeFrame(Hello(PROTOCOL_VERSION, self.node, self.role, self.zone, nonce, proof))
     write.flush()
     val welcome = read.expect<Welcome>().getOrElse { return Err(it) }
     val expected = secret.proof(ACCEPTOR, welcome.node, challenge.nonce, nonce)
-    if (!MessageDigest.isEqual(expected, welcome.proof)) return Err(unproved(welcome.node))
+    if (!MessageDigest.isEqual(expected, welcome.proof)) return Err(invalidProof(welcome.node))
     return Ok(PeerIdentity(welcome.node, NodeRole.Control, ZoneName("")))
 }
 
-/** Challenges the connecting side and answers with this side's proof. */
+/** Performs the accepting side of the handshake: sends the challenge, verifies the proof and sends its own. */
 internal suspend fun acceptHandshake(
     read: ByteReadChannel,
     write: ByteWriteChannel,
@@ -87,22 +87,24 @@
     write.writeFrame(Challenge(PROTOCOL_VERSION, nonce))
     write.flush()
     val hello = read.expect<Hello>().getOrElse { return Err(it) }
-    if (hello.protocol != PROTOCOL_VERSION) return Err(wrongVersion(hello.protocol))
+    if (hello.protocol != PROTOCOL_VERSION) return Err(versionMismatch(hello.protocol))
     val expected = secret.proof(CONNECTOR, hello.node, nonce, hello.nonce)
-    if (!MessageDigest.isEqual(expected, hello.proof)) return Err(unproved(hello.node))
+    if (!MessageDigest.isEqual(expected, hello.proof)) return Err(invalidProof(hello.node))
     write.writeFrame(Welcome(self.node, secret.proof(ACCEPTOR, self.node, nonce, hello.nonce)))
     write.flush()
     return Ok(PeerIdentity(hello.node, hello.role, hello.zone))
 }
 
 private suspend inline fun <reified M : Message> ByteReadChannel.expect(): Result<M, Failure> {
-    val wanted = M::class.simpleName ?: "message"
-    val frame = readFrame(MAX_HANDSHAKE_FRAME_BYTES) ?: return Err(violation(wanted, "the end of the stream"))
+    val expected = M::class.simpleName ?: "message"
+    val frame = readFrame(MAX_HANDSHAKE_FRAME_BYTES) ?: return Err(protocolViolation(expected, "the end of the stream"))
     val message = frame.getOrElse { return Err(it) }
-    if (message !is M) return Err(violation(wanted, message::class.simpleName))
+    if (message !is M) return Err(protocolViolation(expected, message::class.simpleName))
     return Ok(message)
 }
 
-private fun wrongVersion(protocol: Int) = violation("protocol version $PROTOCOL_VERSION", "version $protocol")
+private fun versionMismatch(protocol: Int) =
+    protocolViolation("protocol version $PROTOCOL_VERSION", "version $protocol")
 
-private fun unproved(node: NodeId) = ErrorKind.Unauthorized.notRun("expected a proof of the shared secret from $node")
+private fun invalidProof(node: NodeId) =
+    ErrorKind.Unauthorized.notRun("expected a proof of the shared secret from $node, got an invalid one")
--- a/wire/src/main/kotlin/io/carawaytrack/wire/Link.kt
+++ b/wire/src/main/kotlin/io/carawaytrack/wire/Link.kt
@@ -1,7 +1,7 @@
 /*
- * An authenticated, ordered stream of messages between two processes. Sends are queued and written by one coroutine,
- * which flushes only when nothing more is waiting, so that many small messages share one packet. A link that hears
- * nothing for a while closes itself: over a cut network TCP alone would keep it open for minutes.
+ * An authenticated, ordered stream of messages between two processes. Messages are queued and written by one coroutine,
+ * which flushes after each batch, so that many small messages share one packet. A link that receives no message within
+ * the peer timeout is closed: after a network partition, TCP alone would keep the connection open for minutes.
  */
 package io.carawaytrack.wire
 
@@ -45,52 +45,58 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** Bound on the handshake, in milliseconds. */
+/** Timeout of the TCP connect and of the handshake, each, in milliseconds. */
 public const val HANDSHAKE_TIMEOUT_MILLIS: Long = 3_000
 
-/** Interval of [Ping] on an idle link, in milliseconds. */
+/** Interval at which [Ping] is sent on a link, in milliseconds. */
 public const val PING_INTERVAL_MILLIS: Long = 1_000
 
-/** Silence after which a link closes itself, in milliseconds. */
+/** Time without a message from the peer after which a link is closed, in milliseconds. */
 public const val PEER_TIMEOUT_MILLIS: Long = 4_000
 
-/** Bound on the sending of what is queued when a process stops, in milliseconds. */
+/** Timeout for sending the queued messages of all links when a process stops, in milliseconds. */
 public const val DRAIN_TIMEOUT_MILLIS: Long = 2_000
 
-private const val OUTBOX_MESSAGES = 256
+private const val MAX_OUTBOX_MESSAGES = 256
 private const val MESSAGES_PER_FLUSH = 32
 
-/** Carries messages to and from one peer. */
+/** A connection to one peer. */
 public interface Link : AutoCloseable {
-    /** Identity that the peer has proved. */
+    /** Identity of the peer; the handshake authenticates its [PeerIdentity.node]. */
     public val peer: PeerIdentity
 
-    /** Queues [message], waiting while the peer reads slowly; returns false when the link is closed. */
+    /** Queues [message], suspending while the queue is full; returns false if the link is closed. */
     public suspend fun send(message: Message): Boolean
 
-    /** Queues [message] without waiting; returns false when the queue is full or the link is closed. */
+    /** Queues [message] without suspending; returns false if the queue is full or the link is closed. */
     public fun offer(message: Message): Boolean
 
-    /** Returns the next message, or null when the link has closed. */
+    /** Returns the next message, or null once the link is closed. */
     public suspend fun receive(): Message?
 }
 
-/** Opens and accepts links for one process; closing it closes them all. */
+/** Opens and accepts the links of one process. */
 public interface LinkHub : AutoCloseable {
-    /** Connects to [address]. Fails with `ControlUnavailable` when nobody answers, else as the handshake says. */
+    /**
+     * Connects to [address]. Fails with `ControlUnavailable` if no connection can be established, otherwise with the
+     * failure of the handshake.
+     */
     public suspend fun connect(address: HostPort): Result<Link, Failure>
 
-    /** Accepts links on [address], each served by [serve]; returns the port, which differs from 0. */
+    /**
+     * Accepts links on [address] and runs [serve] for each of them, which is closed when [serve] returns. Returns the
+     * bound port, which the system chooses if the port of [address] is 0.
+     */
     public suspend fun listen(
         address: HostPort,
         serve: suspend (Link) -> Unit,
     ): Int
 
-    /** Sends what is queued on every link, then closes the link; waits at most [DRAIN_TIMEOUT_MILLIS]. */
+    /** Sends the queued messages of each link, then closes it; suspends for at most [DRAIN_TIMEOUT_MILLIS]. */
     public suspend fun drain()
 }
 
-/** Creates a hub whose links carry [self] and authenticate by [secret]. */
+/** Creates a hub whose links identify this process as [self] and authenticate with [secret]. */
 public fun LinkHub(
     self: PeerIdentity,
     secret: SharedSecret,
@@ -108,15 +114,15 @@
 
     override suspend fun connect(address: HostPort): Result<Link, Failure> {
         val socket =
-            withTimeoutOrNull(HANDSHAKE_TIMEOUT_MILLIS) { dial(address) }
-                ?: return Err(unreachable(address))
+            withTimeoutOrNull(HANDSHAKE_TIMEOUT_MILLIS) { openSocket(address) }
+                ?: return Err(connectFailure(address))
         return handshake(socket, ::connectHandshake)
     }
 
-    private suspend fun dial(address: HostPort): Socket? = try {
+    private suspend fun openSocket(address: HostPort): Socket? = try {
         aSocket(selector).tcp().connect(address.host, address.port) { noDelay = true }
-    } catch (refused: IOException) {
-        logger.debug { "no connection to $address: ${refused.message}" }
+    } catch (e: IOException) {
+        logger.debug { "could not connect to $address: ${e.message}" }
         null
     }
 
@@ -142,7 +148,7 @@
     ) {
         val link =
             handshake(socket, ::acceptHandshake)
-                .onFailure { logger.warn { "refused a link: ${it.detail}" } }
+                .onFailure { logger.warn { "handshake of an accepted connection failed: ${it.detail}" } }
                 .getOrElse { return }
         link.use { serve(it) }
     }
@@ -155,10 +161,10 @@
         val write = ByteChannel(autoFlush = false)
         val sending = socket.attachForWriting(write).job
         val peer =
-            withTimeoutOrNull(HANDSHAKE_TIMEOUT_MILLIS) { guarded { agree(read, write, self, secret) } }
-                ?: Err(violation("a handshake", "nothing within $HANDSHAKE_TIMEOUT_MILLIS ms"))
+            withTimeoutOrNull(HANDSHAKE_TIMEOUT_MILLIS) { catchIoErrors { agree(read, write, self, secret) } }
+                ?: Err(protocolViolation("a complete handshake", "none within $HANDSHAKE_TIMEOUT_MILLIS ms"))
         return peer.mapBoth(
-            { Ok(opened(SocketLink(it, socket, read, write, sending, scope, nowMillis))) },
+            { Ok(startLink(SocketLink(it, socket, read, write, sending, scope, nowMillis))) },
             { failure ->
                 socket.close()
                 Err(failure)
@@ -166,7 +172,7 @@
         )
     }
 
-    private fun opened(link: SocketLink): Link {
+    private fun startLink(link: SocketLink): Link {
         links += link
         link.start(onClose = { links -= link })
         return link
@@ -176,12 +182,13 @@
         withTimeoutOrNull(DRAIN_TIMEOUT_MILLIS) { links.toList().forEach { it.drain() } }
     }
 
-    private suspend fun guarded(agree: suspend () -> Result<PeerIdentity, Failure>): Result<PeerIdentity, Failure> =
-        try {
-            agree()
-        } catch (broken: IOException) {
-            Err(violation("a handshake", broken.message))
-        }
+    private suspend fun catchIoErrors(
+        agree: suspend () -> Result<PeerIdentity, Failure>,
+    ): Result<PeerIdentity, Failure> = try {
+        agree()
+    } catch (e: IOException) {
+        Err(protocolViolation("a complete handshake", e.message))
+    }
 
     override fun close() {
         scope.cancel()
@@ -189,8 +196,8 @@
     }
 }
 
-private fun unreachable(address: HostPort): Failure =
-    ErrorKind.ControlUnavailable.notRun("expected $address to accept within $HANDSHAKE_TIMEOUT_MILLIS ms")
+private fun connectFailure(address: HostPort): Failure =
+    ErrorKind.ControlUnavailable.notRun("expected $address to accept a connection in $HANDSHAKE_TIMEOUT_MILLIS ms")
 
 private class SocketLink(
     override val peer: PeerIdentity,
@@ -201,21 +208,21 @@
     private val scope: CoroutineScope,
     private val nowMillis: () -> Long,
 ) : Link {
-    private val outbox = Channel<Message>(OUTBOX_MESSAGES)
+    private val outbox = Channel<Message>(MAX_OUTBOX_MESSAGES)
     private val closed = AtomicBoolean(false)
 
     @Volatile
-    private var heardAtMillis = nowMillis()
+    private var lastReceivedAtMillis = nowMillis()
 
     fun start(onClose: () -> Unit) {
-        scope.launch { writeAll() }.invokeOnCompletion {
+        scope.launch { writeQueued() }.invokeOnCompletion {
             close()
             onClose()
         }
         scope.launch { keepAlive() }
     }
 
-    /** Lets everything that is queued reach the socket, then closes the link. */
+    /** Writes all queued messages to the socket, then closes the link. */
     suspend fun drain() {
         outbox.close()
         sending.join()
@@ -228,7 +235,7 @@
     } catch (_: ClosedSendChannelException) {
         false
     } catch (_: CancellationException) {
-        // The queue of a closed link is cancelled; the caller itself may have been as well.
+        // Closing the link cancels the queue; rethrows if the calling coroutine itself was cancelled.
         currentCoroutineContext().ensureActive()
         false
     }
@@ -237,18 +244,18 @@
 
     override suspend fun receive(): Message? {
         while (true) {
-            val message = nextFrame() ?: return null
-            heardAtMillis = nowMillis()
+            val message = readMessage() ?: return null
+            lastReceivedAtMillis = nowMillis()
             if (message !is Ping) return message
         }
     }
 
-    private suspend fun nextFrame(): Message? {
+    private suspend fun readMessage(): Message? {
         val frame =
             try {
                 read.readFrame(MAX_FRAME_BYTES)
-            } catch (broken: IOException) {
-                logger.debug { "link to ${peer.node} broke: ${broken.message}" }
+            } catch (e: IOException) {
+                logger.debug { "could not read from the link to ${peer.node}: ${e.message}" }
                 null
             }
         if (frame == null) {
@@ -262,24 +269,24 @@
         }
     }
 
-    private suspend fun writeAll() {
+    private suspend fun writeQueued() {
         try {
             for (message in outbox) {
                 write.writeFrame(message)
-                writeWaiting()
+                writeBatch()
                 write.flush()
             }
             write.flushAndClose()
             sending.join()
-        } catch (broken: IOException) {
-            logger.debug { "link to ${peer.node} broke: ${broken.message}" }
-        } catch (cancelled: CancellationException) {
-            logger.debug { "link to ${peer.node} ended" }
-            throw cancelled
+        } catch (e: IOException) {
+            logger.debug { "could not write to the link to ${peer.node}: ${e.message}" }
+        } catch (e: CancellationException) {
+            logger.debug { "cancelled the writer of the link to ${peer.node}" }
+            throw e
         }
     }
 
-    private suspend fun writeWaiting() {
+    private suspend fun writeBatch() {
         repeat(MESSAGES_PER_FLUSH) {
             val message = outbox.tryReceive().getOrNull() ?: return
             write.writeFrame(message)
@@ -289,9 +296,12 @@
     private suspend fun keepAlive() {
         while (!closed.get()) {
             delay(PING_INTERVAL_MILLIS)
-            val silentMillis = nowMillis() - heardAtMillis
-            if (silentMillis > PEER_TIMEOUT_MILLIS) {
-                logger.warn { "closed the link to ${peer.node}: expected a message, silent for $silentMillis ms" }
+            val idleMillis = nowMillis() - lastReceivedAtMillis
+            if (idleMillis > PEER_TIMEOUT_MILLIS) {
+                logger.warn {
+                    "closed the link to ${peer.node}: expected a message within $PEER_TIMEOUT_MILLIS ms, " +
+                        "got none for $idleMillis ms"
+                }
                 close()
             }
             outbox.trySend(Ping)
--- a/wire/src/main/kotlin/io/carawaytrack/wire/Message.kt
+++ b/wire/src/main/kotlin/io/carawaytrack/wire/Message.kt
@@ -1,6 +1,6 @@
 /*
- * Every message that travels between two processes of the system. The entry talks to agents about attempts; entries and
- * agents talk to the control hosts about leases, membership and the ledger; control hosts talk to each other about the
+ * All messages between the processes of the system. Entries and agents exchange attempts and answers; entries and
+ * agents exchange leases, membership and ledger commands with the control hosts; control hosts exchange messages of the
  * replicated log. A message is a CBOR map in a frame; short serial names keep it small.
  */
 @file:OptIn(kotlinx.serialization.ExperimentalSerializationApi::class)
@@ -26,14 +26,14 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.ByteString
 
-/** Version of the messages below; a peer that speaks another one is refused at the handshake. */
+/** Version of the protocol; the handshake rejects a peer with another version. */
 public const val PROTOCOL_VERSION: Int = 1
 
-/** Any message of the protocol. */
+/** A message of the protocol. */
 @Serializable
 public sealed interface Message
 
-/** Opens the handshake: the accepting side sends a number used once. */
+/** Begins the handshake with a nonce of the accepting side. */
 @Serializable
 @SerialName("ch")
 public class Challenge(
@@ -41,7 +41,7 @@
     @ByteString public val nonce: ByteArray,
 ) : Message
 
-/** Answers a [Challenge] with the connecting side's identity and a proof that it knows the shared secret. */
+/** Answers a [Challenge] with the identity of the connecting side and a proof that it knows the shared secret. */
 @Serializable
 @SerialName("hi")
 public class Hello(
@@ -53,7 +53,7 @@
     @ByteString public val proof: ByteArray,
 ) : Message
 
-/** Ends the handshake with the accepting side's identity and proof. */
+/** Completes the handshake with the node id of the accepting side and its proof. */
 @Serializable
 @SerialName("ok")
 public class Welcome(
@@ -61,12 +61,12 @@
     @ByteString public val proof: ByteArray,
 ) : Message
 
-/** Shows that the sender is alive on a link that is otherwise idle. */
+/** Keeps a link alive on which no other messages are sent. */
 @Serializable
 @SerialName("pi")
 public data object Ping : Message
 
-/** Names one header of a request or an answer. */
+/** Describes one header of a request or an answer. */
 @Serializable
 public data class Header(
     val name: String,
@@ -74,15 +74,15 @@
 )
 
 /**
- * Asks an agent to run an attempt of a request.
+ * Requests that an agent runs an attempt of a request.
  *
- * @property attempt unique on this link; answers carry it
- * @property configurationNumber configuration on which the entry decided
- * @property repeatable whether the upstream may receive the same request again
+ * @property attempt identifier of the attempt, unique on this link and repeated in each message of the answer
+ * @property configurationNumber configuration with which the entry planned the attempt
+ * @property repeatable whether the upstream may receive the same request more than once
  * @property pinned whether the request belongs to a session that already runs on [version]
- * @property fingerprint digest of the request by which one that crashes upstreams is recognised
- * @property timeoutMillis time left for the whole attempt
- * @property creditBytes bytes of answer that the agent may send before it needs a [Credit]
+ * @property fingerprint digest that identifies the request, used to detect requests that crash upstreams
+ * @property timeoutMillis time left for the complete attempt
+ * @property creditBytes initial flow control window: bytes of the answer that the agent may send before a [Credit]
  */
 @Serializable
 @SerialName("op")
@@ -108,7 +108,7 @@
     public val traceparent: String? = null,
 ) : Message
 
-/** Allows the agent to send [bytes] more of an answer. */
+/** Extends the flow control window of an answer by [bytes]. */
 @Serializable
 @SerialName("cr")
 public class Credit(
@@ -116,14 +116,14 @@
     public val bytes: Long,
 ) : Message
 
-/** Ends an attempt; the agent answers with [AttemptRefused] or [AnswerFailed], which says whether it ran. */
+/** Cancels an attempt; the agent answers with [AttemptRefused] or [AnswerFailed], which reports whether it ran. */
 @Serializable
 @SerialName("ca")
 public class CancelAttempt(
     public val attempt: Long,
 ) : Message
 
-/** Refuses an attempt before any byte has gone to the upstream. */
+/** Rejects an attempt before any byte was sent to the upstream. */
 @Serializable
 @SerialName("no")
 public class AttemptRefused(
@@ -132,7 +132,7 @@
     public val load: UpstreamLoad,
 ) : Message
 
-/** Tells the agent that the request's outcome and bill are committed, so that it need not report them itself. */
+/** Notifies the agent that the outcome and the bill of the request are committed, so that it need not commit them. */
 @Serializable
 @SerialName("as")
 public class AttemptSettled(
@@ -148,7 +148,7 @@
     public val headers: List<Header>,
 ) : Message
 
-/** Carries part [sequence] of an answer's body, counted from 0. */
+/** Carries one chunk of an answer's body; [sequence] counts the chunks from 0. */
 @Serializable
 @SerialName("ac")
 public class AnswerChunk(
@@ -157,14 +157,14 @@
     @ByteString public val bytes: ByteArray,
 ) : Message
 
-/** Counts what an attempt used. */
+/** Counts the tokens used by an attempt. */
 @Serializable
 public data class Usage(
     val promptTokens: Long = 0,
     val answerTokens: Long = 0,
 )
 
-/** Ends a complete answer of [chunks] parts. */
+/** Ends a complete answer that consists of [chunks] chunks. */
 @Serializable
 @SerialName("ae")
 public class AnswerEnd(
@@ -174,7 +174,7 @@
     public val load: UpstreamLoad,
 ) : Message
 
-/** Ends an attempt that had begun and cannot be completed. */
+/** Ends an attempt that was started and cannot be completed. */
 @Serializable
 @SerialName("af")
 public class AnswerFailed(
@@ -184,12 +184,12 @@
 ) : Message
 
 /**
- * Asks a control host for a lease, and tells what the sender holds.
+ * Requests a lease from a control host and reports the state of the sender.
  *
- * @property sequence rises with each heartbeat; the grant repeats it
+ * @property sequence increases with each heartbeat; the grant repeats it
  * @property announcement set by agents
- * @property membershipNumber last membership the sender has, entries only
- * @property suspects what the agent holds against requests, when it has changed since it was last sent on this link
+ * @property membershipNumber number of the latest membership that the sender has received, set by entries
+ * @property suspects crash counts observed by the agent, if they have changed since they were last sent on this link
  */
 @Serializable
 @SerialName("hb")
@@ -202,11 +202,11 @@
 ) : Message
 
 /**
- * Grants a lease, counted from the moment at which the holder sent the heartbeat [sequence].
+ * Grants a lease, whose duration starts when the holder sent the heartbeat [sequence].
  *
- * @property configuration set when the holder's number was lower
- * @property membership set for entries when it has changed
- * @property suspects what other agents hold against requests, set for agents when it has changed
+ * @property configuration set if the holder reported a lower number
+ * @property membership set for entries if it has changed
+ * @property suspects crash counts reported by agents, set for agents if they have changed
  */
 @Serializable
 @SerialName("lg")
@@ -219,14 +219,14 @@
     public val suspects: List<SuspectReport> = emptyList(),
 ) : Message
 
-/** Pushes a configuration that has just been accepted. */
+/** Pushes a newly accepted configuration to a lease holder. */
 @Serializable
 @SerialName("cp")
 public class ConfigurationPush(
     public val configuration: Configuration,
 ) : Message
 
-/** Tells that this control host does not lead, and who may. */
+/** Rejects a heartbeat because this control host is not the leader; [leader] is the address of the assumed leader. */
 @Serializable
 @SerialName("nl")
 public class NotLeading(
@@ -234,7 +234,7 @@
     public val leader: HostPort?,
 ) : Message
 
-/** Asks the control host to commit a ledger command, in the ledger's own encoding. */
+/** Requests that the control host commits a ledger command, in the encoding of the ledger module. */
 @Serializable
 @SerialName("lc")
 public class LedgerCall(
@@ -242,7 +242,7 @@
     @ByteString public val command: ByteArray,
 ) : Message
 
-/** Answers a [LedgerCall]: a reply in the ledger's own encoding, or a failure. */
+/** Answers a [LedgerCall] with a reply in the encoding of the ledger module, or with a failure. */
 @Serializable
 @SerialName("lr")
 public class LedgerReply(
@@ -251,7 +251,7 @@
     public val failure: Failure? = null,
 ) : Message
 
-/** Carries a message of the replicated log between two control hosts, in that module's own encoding. */
+/** Carries a message of the replicated log between two control hosts, in the encoding of the consensus module. */
 @Serializable
 @SerialName("rl")
 public class LogMessage(
--- a/wire/src/test/kotlin/io/carawaytrack/wire/FrameCodecTest.kt
+++ b/wire/src/test/kotlin/io/carawaytrack/wire/FrameCodecTest.kt
@@ -1,5 +1,6 @@
 /*
- * Frames that no peer should send: random bytes, cut frames and frames with flipped bits, all seeded.
+ * Guards against malformed frames that are accepted as messages or that cause an exception instead of a failure. The
+ * random bytes and the flipped bits are seeded.
  */
 package io.carawaytrack.wire
 
@@ -23,8 +24,8 @@
 import java.nio.ByteBuffer
 import kotlin.random.Random
 
-private const val SEEDS = 2_000
-private const val LARGEST_FRAME_BYTES = 4_096
+private const val SEED_COUNT = 2_000
+private const val MAX_TEST_FRAME_BYTES = 4_096
 
 class FrameCodecTest {
     private val load = UpstreamLoad(1, 2, 3)
@@ -56,16 +57,16 @@
         .put(payload)
         .array()
 
-    /** Reads [bytes] as a link does: a broken frame is a failure, the end of the stream, or a broken connection. */
+    /** Reads [bytes] like a link does; returns null at the end of the stream or on an I/O error. */
     private fun read(bytes: ByteArray): Result<Message, Failure>? = runBlocking {
         try {
-            ByteReadChannel(bytes).readFrame(LARGEST_FRAME_BYTES)
+            ByteReadChannel(bytes).readFrame(MAX_TEST_FRAME_BYTES)
         } catch (_: IOException) {
             null
         }
     }
 
-    private fun expectViolationAtWorst(
+    private fun expectMessageOrViolation(
         bytes: ByteArray,
         description: String,
     ) {
@@ -74,42 +75,42 @@
     }
 
     @Test
-    fun `random bytes are refused as a violation of the protocol and never end in another exception`() {
-        repeat(SEEDS) { seed ->
+    fun `random bytes are rejected as a protocol violation and cause no other exception`() {
+        repeat(SEED_COUNT) { seed ->
             val random = Random(seed)
             val bytes = random.nextBytes(random.nextInt(1, 200))
-            expectViolationAtWorst(bytes, "bytes of seed $seed")
-            expectViolationAtWorst(frame(bytes), "frame of seed $seed")
+            expectMessageOrViolation(bytes, "bytes of seed $seed")
+            expectMessageOrViolation(frame(bytes), "frame of seed $seed")
         }
     }
 
     @Test
-    fun `a frame with flipped bits is read as a message or refused`() {
-        repeat(SEEDS) { seed ->
+    fun `a frame with flipped bits is decoded or rejected as a protocol violation`() {
+        repeat(SEED_COUNT) { seed ->
             val random = Random(seed)
             val payload = messages.random(random).encode()
             repeat(random.nextInt(1, 4)) {
-                val place = random.nextInt(payload.size)
-                payload[place] = (payload[place].toInt() xor (1 shl random.nextInt(Byte.SIZE_BITS))).toByte()
+                val position = random.nextInt(payload.size)
+                payload[position] = (payload[position].toInt() xor (1 shl random.nextInt(Byte.SIZE_BITS))).toByte()
             }
-            expectViolationAtWorst(frame(payload), "flipped frame of seed $seed")
+            expectMessageOrViolation(frame(payload), "flipped frame of seed $seed")
         }
     }
 
     @Test
-    fun `a frame cut at any byte is never taken for a whole message`() {
-        messages.map { frame(it.encode()) }.forEach { whole ->
-            (0 until whole.size).forEach { size -> expectThat(read(whole.copyOf(size))).isEqualTo(null) }
-            (1 until whole.size - Int.SIZE_BYTES).forEach { size ->
-                val payload = whole.copyOfRange(Int.SIZE_BYTES, Int.SIZE_BYTES + size)
+    fun `a truncated frame is never decoded as a message`() {
+        messages.map { frame(it.encode()) }.forEach { complete ->
+            (0 until complete.size).forEach { size -> expectThat(read(complete.copyOf(size))).isEqualTo(null) }
+            (1 until complete.size - Int.SIZE_BYTES).forEach { size ->
+                val payload = complete.copyOfRange(Int.SIZE_BYTES, Int.SIZE_BYTES + size)
                 expectThat(read(frame(payload))?.getError()?.kind).isEqualTo(ErrorKind.ProtocolViolation)
             }
         }
     }
 
     @Test
-    fun `a frame over the limit or without a byte is refused before it is read`() {
-        listOf(0, -1, LARGEST_FRAME_BYTES + 1, Int.MAX_VALUE).forEach { size ->
+    fun `a frame with an invalid length is rejected before its payload is read`() {
+        listOf(0, -1, MAX_TEST_FRAME_BYTES + 1, Int.MAX_VALUE).forEach { size ->
             val header = ByteBuffer.allocate(Int.SIZE_BYTES).putInt(size).array()
             expectThat(read(header)?.getError()?.kind).isEqualTo(ErrorKind.ProtocolViolation)
         }
--- a/wire/src/test/kotlin/io/carawaytrack/wire/LinkTest.kt
+++ b/wire/src/test/kotlin/io/carawaytrack/wire/LinkTest.kt
@@ -1,5 +1,5 @@
 /*
- * Links over real loopback sockets: what gets through, and what is refused before it can do harm.
+ * Guards against lost messages and against peers that are accepted without a valid handshake. Uses loopback sockets.
  */
 package io.carawaytrack.wire
 
@@ -28,7 +28,7 @@
 class LinkTest {
     private val acceptor = PeerIdentity(NodeId("agent-1"), NodeRole.Agent, ZoneName("z1"))
     private val connector = PeerIdentity(NodeId("entry-1"), NodeRole.Entry, ZoneName("z1"))
-    private val anyPort = HostPort("127.0.0.1", 0)
+    private val ephemeralPort = HostPort("127.0.0.1", 0)
 
     private fun hub(
         self: PeerIdentity,
@@ -36,10 +36,10 @@
     ) = LinkHub(self, SharedSecret(secret.encodeToByteArray())) { System.nanoTime() / 1_000_000 }
 
     @Test
-    fun `a message arrives with the sender's proved identity`(): Unit = runBlocking {
+    fun `a message is received with the identity of its sender`(): Unit = runBlocking {
         val received = CompletableDeferred<Pair<PeerIdentity, Message?>>()
         hub(acceptor).use { server ->
-            val port = server.listen(anyPort) { received.complete(it.peer to it.receive()) }
+            val port = server.listen(ephemeralPort) { received.complete(it.peer to it.receive()) }
             hub(connector).use { client ->
                 val link = client.connect(HostPort("127.0.0.1", port)).get()!!
                 expectThat(link.peer.node).isEqualTo(acceptor.node)
@@ -52,9 +52,9 @@
     }
 
     @Test
-    fun `a peer with another secret is refused`(): Unit = runBlocking {
+    fun `a peer with a different secret is rejected`(): Unit = runBlocking {
         hub(acceptor).use { server ->
-            val port = server.listen(anyPort) { error("accepted a peer that has proved nothing") }
+            val port = server.listen(ephemeralPort) { error("expected no link, got one without a valid proof") }
             hub(connector, secret = "other").use { client ->
                 val failure = client.connect(HostPort("127.0.0.1", port)).getError()
                 expectThat(failure?.kind).isEqualTo(ErrorKind.ProtocolViolation)
@@ -62,19 +62,19 @@
         }
     }
 
-    private class BadInput(
+    private class InvalidInput(
         val name: String,
         val bytes: ByteArray,
     )
 
     @TestFactory
-    fun `input that is no handshake closes the connection`(): List<DynamicTest> = listOf(
-        BadInput("a frame over the limit", frame(Int.MAX_VALUE, byteArrayOf())),
-        BadInput("a frame of negative length", frame(-1, byteArrayOf())),
-        BadInput("bytes that are no message", frame(4, byteArrayOf(1, 2, 3, 4))),
-        BadInput("an HTTP request", "GET / HTTP/1.1\r\n\r\n".encodeToByteArray()),
-        BadInput("a message that is no hello", framed(Ping)),
-        BadInput("another protocol version", framed(helloOfVersion(PROTOCOL_VERSION + 1))),
+    fun `input other than a valid handshake closes the connection`(): List<DynamicTest> = listOf(
+        InvalidInput("a frame over the size limit", frame(Int.MAX_VALUE, byteArrayOf())),
+        InvalidInput("a frame of negative length", frame(-1, byteArrayOf())),
+        InvalidInput("bytes that are not a message", frame(4, byteArrayOf(1, 2, 3, 4))),
+        InvalidInput("an HTTP request", "GET / HTTP/1.1\r\n\r\n".encodeToByteArray()),
+        InvalidInput("a message other than Hello", framed(Ping)),
+        InvalidInput("another protocol version", framed(helloOfVersion(PROTOCOL_VERSION + 1))),
     ).map { case -> DynamicTest.dynamicTest(case.name) { expectThat(closesAfter(case.bytes)).isTrue() } }
 
     private fun helloOfVersion(version: Int) =
@@ -93,7 +93,7 @@
 
     private fun closesAfter(bytes: ByteArray): Boolean = runBlocking {
         hub(acceptor).use { server ->
-            val port = server.listen(anyPort) { error("accepted a peer that has proved nothing") }
+            val port = server.listen(ephemeralPort) { error("expected no link, got one without a valid proof") }
             withContext(Dispatchers.IO) {
                 Socket("127.0.0.1", port).use { socket ->
                     socket.getOutputStream().write(bytes)
@@ -105,9 +105,9 @@
     }
 
     @Test
-    fun `a closed link receives null and refuses to send`(): Unit = runBlocking {
+    fun `a closed link receives null and rejects messages`(): Unit = runBlocking {
         hub(acceptor).use { server ->
-            val port = server.listen(anyPort) { it.close() }
+            val port = server.listen(ephemeralPort) { it.close() }
             hub(connector).use { client ->
                 val link = client.connect(HostPort("127.0.0.1", port)).get()!!
                 expectThat(link.receive()).isNull()
