--- a/model/src/main/kotlin/io/carawaytrack/model/Upstream.kt
+++ b/model/src/main/kotlin/io/carawaytrack/model/Upstream.kt
@@ -40,10 +40,11 @@
 )
 
 /**
- * Lists the announced upstreams.
+ * Lists all announced upstreams, or the changes since the last membership that a lease holder has received.
  *
- * @property complete false until a new leader has waited for the next heartbeat of every agent; an incomplete list may
- * add upstreams to those that a lease holder already knows, but must not remove any
+ * @property complete whether [upstreams] replaces all that the holder knows; false for changes, and until a new leader
+ * has waited for the next heartbeat of every agent
+ * @property removed upstreams that the holder removes
  */
 @Serializable
 public data class Membership(
