--- a/process/src/main/kotlin/io/carawaytrack/process/CommandMain.kt
+++ b/process/src/main/kotlin/io/carawaytrack/process/CommandMain.kt
@@ -1,13 +1,13 @@
 /*
- * The way from `main` to a picocli command.
+ * Runs a picocli command from `main`.
  */
 package io.carawaytrack.process
 
 import picocli.CommandLine
 import kotlin.system.exitProcess
 
-/** Runs [command] with [arguments] and ends the process with its exit code. */
-@Suppress("SpreadOperator") // picocli takes its arguments in no other form
+/** Runs [command] with [arguments] and exits with its exit code. */
+@Suppress("SpreadOperator") // CommandLine.execute accepts its arguments only as varargs
 public fun runCommand(
     command: Any,
     arguments: Array<String>,
--- a/process/src/main/kotlin/io/carawaytrack/process/GracefulStop.kt
+++ b/process/src/main/kotlin/io/carawaytrack/process/GracefulStop.kt
@@ -1,6 +1,5 @@
 /*
- * The end of a process. The first SIGTERM or SIGINT begins a graceful shutdown; the process exits when its work is
- * done.
+ * Graceful shutdown. The first SIGTERM or SIGINT begins the shutdown; the process exits once its work is complete.
  */
 package io.carawaytrack.process
 
@@ -11,10 +10,10 @@
 private val stopSignals = listOf("TERM", "INT")
 
 /**
- * Runs [serve] until it returns; it is handed a function that waits for the signal to stop.
+ * Runs [serve] until it returns. Its argument suspends until the process receives a signal to stop.
  *
- * The signals are taken before the Java machine acts on them: its shutdown hooks run side by side, and that of an HTTP
- * server would cut the answers that are still being sent.
+ * The signal handlers replace those of the JVM, which run all shutdown hooks concurrently: the hook of an HTTP server
+ * would cut off answers that are still being sent.
  */
 public fun runUntilStopped(serve: suspend (awaitStop: suspend () -> Unit) -> Unit) {
     val stop = CompletableDeferred<Unit>()
@@ -22,7 +21,7 @@
     runBlocking { serve { stop.await() } }
 }
 
-/** Returns milliseconds on a clock that never goes back and keeps running while the process is frozen. */
+/** Returns the time of a monotonic clock, in milliseconds; it advances even while the process is suspended. */
 public fun monotonicMillis(): Long = System.nanoTime() / NANOS_PER_MILLI
 
 private const val NANOS_PER_MILLI = 1_000_000L
--- a/process/src/main/kotlin/io/carawaytrack/process/ProcessSettings.kt
+++ b/process/src/main/kotlin/io/carawaytrack/process/ProcessSettings.kt
@@ -1,6 +1,6 @@
 /*
- * The settings that every process of the system has: who it is, where it stands, and the files and ports that the
- * operator's tools use. Wrong settings stop the process before it opens a port.
+ * Settings common to all processes: identity, availability zone, secret file, logging, tracing and the address of the
+ * observability endpoints. A process with invalid settings exits before it opens a port.
  */
 package io.carawaytrack.process
 
@@ -18,22 +18,22 @@
 import java.nio.file.Path
 import kotlin.system.exitProcess
 
-/** Exit code of a process whose settings contain faults. */
+/** Exit code of a process with invalid settings. */
 public const val SETTINGS_EXIT_CODE: Int = 2
 
-private const val SHORTEST_SECRET_BYTES = 16
-private const val WHOLE_PERCENT = 100
+private const val MIN_SECRET_BYTES = 16
+private const val MAX_PERCENT = 100
 private const val DEFAULT_DRAIN_MILLIS = 30_000L
-private const val LONGEST_DRAIN_MILLIS = 3_600_000L
+private const val MAX_DRAIN_MILLIS = 3_600_000L
 
 /**
  * Holds the settings common to all processes.
  *
- * @property secretFile file with the secret that all processes of the deployment share
- * @property observability address of health checks and metrics
- * @property spansFile file for spans as JSON lines; null writes none
- * @property traceSampleRatio share of new traces that are recorded, 0 to 1
- * @property drainMillis bound on a graceful shutdown
+ * @property secretFile file with the secret shared by all processes of the deployment
+ * @property observability address of the health check and metrics endpoints
+ * @property spansFile file to which spans are written as JSON lines, null to write none
+ * @property traceSampleRatio ratio of new traces that are recorded, from 0 to 1
+ * @property drainMillis timeout of a graceful shutdown
  */
 public data class ProcessSettings(
     val node: NodeId,
@@ -45,20 +45,20 @@
     val traceSampleRatio: Double,
     val drainMillis: Long,
 ) {
-    /** Returns how the process presents itself to its peers. */
+    /** Returns the identity of this process in [role], as sent to its peers. */
     public fun identity(role: NodeRole): PeerIdentity = PeerIdentity(node, role, zone)
 
-    /** Reads the shared secret; ends the process with [SETTINGS_EXIT_CODE] when the file is missing or too short. */
+    /** Reads the shared secret; exits with [SETTINGS_EXIT_CODE] if the file is unreadable or the secret too short. */
     public fun sharedSecret(): SharedSecret {
         val text = runCatching { Files.readString(secretFile).trim() }.getOrNull()
-        if (text == null || text.length < SHORTEST_SECRET_BYTES) {
-            exitWithFaults(listOf("$secretFile: expected a readable secret of at least $SHORTEST_SECRET_BYTES bytes"))
+        if (text == null || text.length < MIN_SECRET_BYTES) {
+            exitWithFaults(listOf("$secretFile: expected a readable secret of at least $MIN_SECRET_BYTES bytes"))
         }
         return SharedSecret(text.encodeToByteArray())
     }
 }
 
-/** Reads the keys common to all processes. */
+/** Reads the settings common to all processes. */
 public fun SettingsReader.processSettings(): ProcessSettings = ProcessSettings(
     node = NodeId(text("node")),
     zone = ZoneName(text("availability_zone")),
@@ -66,11 +66,11 @@
     observability = address("observability_address"),
     logLevel = choice("log_level", setOf("debug", "info", "warn", "error"), "info"),
     spansFile = optionalText("spans_file")?.let(Path::of),
-    traceSampleRatio = int("trace_sample_percent", 0..WHOLE_PERCENT, WHOLE_PERCENT) / WHOLE_PERCENT.toDouble(),
-    drainMillis = long("drain_millis", 0..LONGEST_DRAIN_MILLIS, DEFAULT_DRAIN_MILLIS),
+    traceSampleRatio = int("trace_sample_percent", 0..MAX_PERCENT, MAX_PERCENT) / MAX_PERCENT.toDouble(),
+    drainMillis = long("drain_millis", 0..MAX_DRAIN_MILLIS, DEFAULT_DRAIN_MILLIS),
 )
 
-/** Returns the settings, or prints every fault and ends the process with [SETTINGS_EXIT_CODE]. */
+/** Returns the settings, or prints all faults and exits with [SETTINGS_EXIT_CODE]. */
 public fun <T : Any> Result<T, List<Fault>>.orExit(): T = getOrElse { faults -> exitWithFaults(faults) }
 
 private fun exitWithFaults(faults: List<Any>): Nothing {
--- a/process/src/main/kotlin/io/carawaytrack/process/ProcessTelemetry.kt
+++ b/process/src/main/kotlin/io/carawaytrack/process/ProcessTelemetry.kt
@@ -1,5 +1,5 @@
 /*
- * Opens what a process tells about itself, as its settings say.
+ * Sets up logs, metrics and spans of a process according to its settings.
  */
 package io.carawaytrack.process
 
@@ -10,7 +10,7 @@
 import io.carawaytrack.telemetry.installJsonLogs
 import io.github.oshai.kotlinlogging.Level
 
-/** Installs JSON-line logs and returns the process's metrics and spans; closing it writes the last log lines too. */
+/** Installs logs as JSON lines and returns the metrics and spans; closing them also flushes the logs. */
 public fun ProcessSettings.openTelemetry(role: NodeRole): Telemetry {
     val logs = installJsonLogs(node, role, zone, Level.valueOf(logLevel.uppercase()))
     val spans = spansFile?.let(SpanOutput::JsonLines) ?: SpanOutput.None
