--- a/tables/src/main/kotlin/io/carawaytrack/tables/PoolChecks.kt
+++ b/tables/src/main/kotlin/io/carawaytrack/tables/PoolChecks.kt
@@ -1,5 +1,5 @@
 /*
- * What pools must fulfil, by themselves and among each other.
+ * Validates pools, including the pools that they include.
  */
 package io.carawaytrack.tables
 
@@ -11,13 +11,13 @@
 import io.carawaytrack.model.Tables
 import io.carawaytrack.model.reachableFrom
 
-private const val HIGHEST_WEIGHT = 1_000
-private const val HIGHEST_COST_PER_KILO_TOKEN = 1_000_000.0
+private const val MAX_WEIGHT = 1_000
+private const val MAX_COST_PER_KILO_TOKEN = 1_000_000.0
 
-private val weights = 1..HIGHEST_WEIGHT
-private val costs = 0.0..HIGHEST_COST_PER_KILO_TOKEN
+private val weightRange = 1..MAX_WEIGHT
+private val costRange = 0.0..MAX_COST_PER_KILO_TOKEN
 
-/** Returns every fault of the pools of [tables]. */
+/** Returns all faults of the pools of [tables]. */
 internal fun checkPools(tables: Tables): List<Fault> {
     val faults = FaultList(POOLS_TABLE)
     faults.checkDistinct(tables.pools.map(Pool::name)) { "pool[$it].name" }
@@ -37,7 +37,7 @@
     pool.includes.forEachIndexed { n, included -> checkInclude("$row.includes[$n]", pool, included, tables) }
     val reachable = tables.reachableFrom(pool.name)
     if (reachable.all { it.members.isEmpty() }) add("$row.member", null, "at least one [[pool.member]] or include")
-    if (pool.includes.isNotEmpty()) checkOneRowEach(row, reachable)
+    if (pool.includes.isNotEmpty()) checkConsistentMembers(row, reachable)
 }
 
 private fun FaultList.checkMember(
@@ -50,9 +50,9 @@
     checkName(nameKey, member.version.model)
     if (!isService) checkName("$row.version", member.version.version)
     if (isService != (kind == ServiceKind.Service)) add(nameKey, member.version, "a member of kind ${kind.word()}")
-    checkRange("$row.cost_per_kilotoken", member.costPerKiloToken, costs)
-    checkRange("$row.expected_quality", member.expectedQuality, qualities)
-    checkRange("$row.weight", member.weight, weights)
+    checkRange("$row.cost_per_kilotoken", member.costPerKiloToken, costRange)
+    checkRange("$row.expected_quality", member.expectedQuality, qualityRange)
+    checkRange("$row.weight", member.weight, weightRange)
     member.upstreams.forEachIndexed { n, upstream -> checkName("$row.upstreams[$n]", upstream.value) }
 }
 
@@ -67,12 +67,12 @@
         target == null -> add(key, included, "the name of a pool")
         target.kind != pool.kind -> add(key, included, "a pool of kind ${pool.kind.word()}")
         tables.reachableFrom(included).any { it.name == pool.name } ->
-            add(key, included, "a pool that does not include ${pool.name} in turn")
+            add(key, included, "a pool that does not include ${pool.name}")
     }
 }
 
-/** Reports a version that included pools describe in different ways. */
-private fun FaultList.checkOneRowEach(
+/** Adds a fault for each version that the [reachable] pools describe differently. */
+private fun FaultList.checkConsistentMembers(
     row: String,
     reachable: List<Pool>,
 ) {
@@ -82,5 +82,5 @@
         .groupBy(PoolMember::version)
         .filterValues { it.size > 1 }
         .keys
-        .forEach { add("$row.includes", it, "the same cost, quality, weight and upstreams wherever a version stands") }
+        .forEach { add("$row.includes", it, "the same cost, quality, weight and upstreams in all rows of a version") }
 }
--- a/tables/src/main/kotlin/io/carawaytrack/tables/RouteChecks.kt
+++ b/tables/src/main/kotlin/io/carawaytrack/tables/RouteChecks.kt
@@ -1,5 +1,5 @@
 /*
- * What routes must fulfil, by themselves and joined to organisations and pools.
+ * Validates routes, including their references to organisations and pools.
  */
 package io.carawaytrack.tables
 
@@ -10,23 +10,23 @@
 import io.carawaytrack.model.Tables
 import io.carawaytrack.model.membersOf
 
-/** Stands for every organisation in a route. */
+/** Matches all organisations in a route. */
 private const val ALL_ORGANISATIONS = "*"
 
-private const val HIGHEST_TIMEOUT_MILLIS = 3_600_000L
+private const val MAX_TIMEOUT_MILLIS = 3_600_000L
 
-private val timeoutsMillis = 1L..HIGHEST_TIMEOUT_MILLIS
-private val methodNames = setOf("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
+private val timeoutRangeMillis = 1L..MAX_TIMEOUT_MILLIS
+private val supportedMethods = setOf("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
 
-/** Returns every fault of the routes of [tables]. */
+/** Returns all faults of the routes of [tables]. */
 internal fun checkRoutes(tables: Tables): List<Fault> {
     val faults = FaultList(ROUTES_TABLE)
     faults.checkDistinct(tables.routes.map(Route::name)) { "route[$it].name" }
     tables.routes.forEachIndexed { index, route ->
         val row = "route[$index]"
         faults.checkRoute(row, route)
-        faults.checkJoin(row, route, tables)
-        faults.checkUnambiguous(row, route, tables.routes.take(index))
+        faults.checkReferences(row, route, tables)
+        faults.checkOverlap(row, route, tables.routes.take(index))
     }
     return faults.found
 }
@@ -41,8 +41,8 @@
     checkModel("$row.model", route)
     checkNotEmpty("$row.organisations", route.organisations)
     checkDistinct(route.organisations) { "$row.organisations[$it]" }
-    checkRange("$row.quality_target", route.qualityTarget, qualities)
-    checkRange("$row.timeout_millis", route.timeoutMillis, timeoutsMillis)
+    checkRange("$row.quality_target", route.qualityTarget, qualityRange)
+    checkRange("$row.timeout_millis", route.timeoutMillis, timeoutRangeMillis)
 }
 
 private fun FaultList.checkMethods(
@@ -51,7 +51,7 @@
 ) {
     checkNotEmpty("$row.methods", route.methods)
     route.methods.forEachIndexed { n, method ->
-        if (method !in methodNames) add("$row.methods[$n]", method, "one of ${methodNames.joinToString()}")
+        if (method !in supportedMethods) add("$row.methods[$n]", method, "one of ${supportedMethods.joinToString()}")
     }
     route.repeatableMethods.forEachIndexed { n, method ->
         if (method !in route.methods) add("$row.repeatable_methods[$n]", method, "a method of the route")
@@ -68,14 +68,14 @@
             add(
                 key,
                 model,
-                "no model, as the route is of kind service",
+                "no model, because the route is of kind service",
             )
         route.kind == ServiceKind.Model && model == null -> add(key, null, "the model that callers name")
         model != null -> checkName(key, model)
     }
 }
 
-private fun FaultList.checkJoin(
+private fun FaultList.checkReferences(
     row: String,
     route: Route,
     tables: Tables,
@@ -101,79 +101,79 @@
     val members = tables.membersOf(route.pool)
     if (members.isEmpty()) return
     checkAllowances(row, route, tables.organisations, members)
-    checkTarget(row, route, tables.organisations, members)
+    checkQualityTarget(row, route, tables.organisations, members)
 }
 
-/** Reports each listed organisation that allows none of [usable], and `*` when no organisation does. */
+/** Adds a fault for each listed organisation that allows none of [candidates], and for `*` if no organisation does. */
 internal fun FaultList.checkAllowances(
     row: String,
     route: Route,
     organisations: List<Organisation>,
-    usable: List<PoolMember>,
+    candidates: List<PoolMember>,
 ) {
-    val versions = usable.map { it.version.toString() }.ifEmpty { listOf("(no version is serving)") }
+    val versions = candidates.map { it.version.toString() }.ifEmpty { listOf("(no version is serving)") }
     val expected = "an organisation that allows one of: ${versions.joinToString()}"
-    forEachListed(row, route, organisations) { key, name, listed ->
-        if (listed.none { it.allowsAny(usable) }) add(key, name, expected)
+    forEachOrganisationName(row, route, organisations) { key, name, matching ->
+        if (matching.none { it.allowsAny(candidates) }) add(key, name, expected)
     }
 }
 
-/** Reports a target that no member meets, or that none meets which a listed organisation allows. */
-private fun FaultList.checkTarget(
+/** Adds a fault if no member reaches the quality target, or none that a listed organisation allows. */
+private fun FaultList.checkQualityTarget(
     row: String,
     route: Route,
     organisations: List<Organisation>,
     members: List<PoolMember>,
 ) {
     val target = route.qualityTarget
-    if (target !in qualities || target == 0.0) return
+    if (target !in qualityRange || target == 0.0) return
     if (route.kind == ServiceKind.Service) {
         add("$row.quality_target", target, "0, because answers of plain services are not rated")
         return
     }
-    val able = members.filter { it.expectedQuality >= target }
-    if (able.isEmpty()) {
+    val sufficient = members.filter { it.expectedQuality >= target }
+    if (sufficient.isEmpty()) {
         val best = members.maxOf(PoolMember::expectedQuality)
         add("$row.quality_target", target, "at most $best, the best expected quality in pool ${route.pool}")
         return
     }
     val expected = "an organisation that allows a version of expected quality $target or more"
-    forEachListed(row, route, organisations) { key, name, listed ->
-        val mayRun = listed.any { it.allowsAny(members) }
-        if (mayRun && listed.none { it.allowsAny(able) }) add(key, name, expected)
+    forEachOrganisationName(row, route, organisations) { key, name, matching ->
+        val mayRun = matching.any { it.allowsAny(members) }
+        if (mayRun && matching.none { it.allowsAny(sufficient) }) add(key, name, expected)
     }
 }
 
-/** Calls [check] for each name that [route] lists with the known organisations it stands for. */
-private fun forEachListed(
+/** Calls [check] for each name that [route] lists, with the known organisations that it matches. */
+private fun forEachOrganisationName(
     row: String,
     route: Route,
     organisations: List<Organisation>,
-    check: (key: String, name: String, listed: List<Organisation>) -> Unit,
+    check: (key: String, name: String, matching: List<Organisation>) -> Unit,
 ) {
     route.organisations.forEachIndexed { n, name ->
-        val listed = organisations.filter { name == ALL_ORGANISATIONS || name == it.name.value }
-        if (listed.isNotEmpty() || name == ALL_ORGANISATIONS) check("$row.organisations[$n]", name, listed)
+        val matching = organisations.filter { name == ALL_ORGANISATIONS || name == it.name.value }
+        if (matching.isNotEmpty() || name == ALL_ORGANISATIONS) check("$row.organisations[$n]", name, matching)
     }
 }
 
 private fun Organisation.allowsAny(members: List<PoolMember>): Boolean = members.any { allows(it.version) }
 
-/** Reports a route that takes requests which one of [earlier] takes already. */
-private fun FaultList.checkUnambiguous(
+/** Adds a fault if [route] matches requests that a route of [earlier] also matches. */
+private fun FaultList.checkOverlap(
     row: String,
     route: Route,
     earlier: List<Route>,
 ) {
-    val rival = earlier.firstOrNull { it.takesSameAs(route) } ?: return
+    val overlapping = earlier.firstOrNull { it.overlaps(route) } ?: return
     add(
         "$row.path_prefix",
         route.pathPrefix,
-        "a method, path, model or organisation that route ${rival.name} does not take",
+        "a method, path, model or organisation that route ${overlapping.name} does not match",
     )
 }
 
-private fun Route.takesSameAs(other: Route): Boolean =
+private fun Route.overlaps(other: Route): Boolean =
     pathPrefix == other.pathPrefix && model == other.model && sharesMethod(other) && sharesOrganisation(other)
 
 private fun Route.sharesMethod(other: Route): Boolean = methods.any(other.methods::contains)
--- a/tables/src/main/kotlin/io/carawaytrack/tables/SettingsDescription.kt
+++ b/tables/src/main/kotlin/io/carawaytrack/tables/SettingsDescription.kt
@@ -1,5 +1,5 @@
 /*
- * Describes the settings of a process by asking its own reading function, so that the reference cannot differ from the
+ * Derives the reference of a process's settings from the function that reads them, so that it cannot differ from the
  * code.
  */
 package io.carawaytrack.tables
@@ -9,7 +9,8 @@
 /**
  * Describes one key of a settings file.
  *
- * @property default null for a required key
+ * @property allowed description of the allowed values
+ * @property default default value, null for a required key
  */
 public data class SettingDescription(
     val key: String,
@@ -17,32 +18,32 @@
     val default: String?,
 )
 
-/** Lists the keys that [read] asks for, in its order. */
+/** Returns the keys that [read] reads, in the same order. */
 public fun describeSettings(read: SettingsReader.() -> Any): List<SettingDescription> {
     val reader = DescribingReader()
     reader.read()
-    return reader.described
+    return reader.descriptions
 }
 
-/** Renders [settings] as the rows of a Markdown table. */
+/** Formats [settings] as the rows of a Markdown table. */
 public fun markdownRows(settings: List<SettingDescription>): String = settings.joinToString("\n") { setting ->
     val default = setting.default?.let { "`$it`" } ?: "required"
     "| `${setting.key}` | ${setting.allowed} | $default |"
 }
 
 private class DescribingReader : SettingsReader {
-    val described = mutableListOf<SettingDescription>()
+    val descriptions = mutableListOf<SettingDescription>()
 
     override fun text(
         key: String,
         default: String?,
     ): String {
-        note(key, "text", default)
+        record(key, "text", default)
         return default ?: "text"
     }
 
     override fun optionalText(key: String): String? {
-        note(key, "text", "")
+        record(key, "text", "")
         return null
     }
 
@@ -51,7 +52,7 @@
         allowed: IntRange,
         default: Int?,
     ): Int {
-        note(key, "${allowed.first} to ${allowed.last}", default)
+        record(key, "${allowed.first} to ${allowed.last}", default)
         return default ?: allowed.first
     }
 
@@ -60,7 +61,7 @@
         allowed: LongRange,
         default: Long?,
     ): Long {
-        note(key, "${allowed.first} to ${allowed.last}", default)
+        record(key, "${allowed.first} to ${allowed.last}", default)
         return default ?: allowed.first
     }
 
@@ -68,7 +69,7 @@
         key: String,
         default: Boolean?,
     ): Boolean {
-        note(key, "true or false", default)
+        record(key, "true or false", default)
         return default ?: false
     }
 
@@ -76,7 +77,7 @@
         key: String,
         default: List<String>?,
     ): List<String> {
-        note(key, "list of texts", default)
+        record(key, "list of texts", default)
         return default.orEmpty()
     }
 
@@ -85,7 +86,7 @@
         allowed: Set<String>,
         default: String?,
     ): String {
-        note(key, allowed.joinToString(" or "), default)
+        record(key, allowed.joinToString(" or "), default)
         return default ?: allowed.first()
     }
 
@@ -93,7 +94,7 @@
         key: String,
         default: HostPort?,
     ): HostPort {
-        note(key, "host:port", default)
+        record(key, "host:port", default)
         return default ?: HostPort("127.0.0.1", 0)
     }
 
@@ -101,30 +102,30 @@
         key: String,
         default: List<HostPort>?,
     ): List<HostPort> {
-        note(key, "list of host:port", default)
+        record(key, "list of host:port", default)
         return default.orEmpty()
     }
 
     override fun optionalAddress(key: String): HostPort? {
-        note(key, "host:port", "")
+        record(key, "host:port", "")
         return null
     }
 
     override fun addressTable(key: String): Map<String, HostPort> {
-        note(key, "table of host:port", "{}")
+        record(key, "table of host:port", "{}")
         return emptyMap()
     }
 
     override fun textTable(key: String): Map<String, String> {
-        note(key, "table of texts", "{}")
+        record(key, "table of texts", "{}")
         return emptyMap()
     }
 
-    private fun note(
+    private fun record(
         key: String,
         allowed: String,
         default: Any?,
     ) {
-        described += SettingDescription(key, allowed, default?.toString())
+        descriptions += SettingDescription(key, allowed, default?.toString())
     }
 }
--- a/tables/src/main/kotlin/io/carawaytrack/tables/SettingsReader.kt
+++ b/tables/src/main/kotlin/io/carawaytrack/tables/SettingsReader.kt
@@ -1,6 +1,6 @@
 /*
- * Checked settings of a process. A reader asks for every key by name, type and allowed range; all faults of the file
- * are collected, so that an operator sees them at once.
+ * Validated settings of a process. The caller reads each key by name, type and allowed range; all faults of the file
+ * are collected, so that an operator can fix them in one pass.
  */
 package io.carawaytrack.tables
 
@@ -12,11 +12,11 @@
 import java.nio.file.Path
 
 /**
- * Names one fault in a TOML file.
+ * Describes one invalid or missing value in a TOML file.
  *
- * @property line line in the file, counted from 1; 0 when the fault has no place in it, such as a missing key
- * @property value what the file says, null when the key is missing
- * @property expected what is allowed
+ * @property line line in the file, counted from 1; 0 if the fault has no position, such as a missing key
+ * @property value text of the value, null if the key is missing
+ * @property expected description of the allowed values
  */
 @Serializable
 public data class Fault(
@@ -26,19 +26,22 @@
     val value: String?,
     val expected: String,
 ) {
-    /** Renders `file:line: key = value: expected ...`. */
+    /** Returns `file:line: key = value: expected ...`. */
     override fun toString(): String = "$file:$line: $key = ${value ?: "(missing)"}: expected $expected"
 }
 
-/** Reads typed values of dotted keys; a fault yields a stand-in value and is reported when the reading ends. */
+/**
+ * Reads typed values of dotted keys. For an invalid value, a placeholder is returned and a fault is added to the result
+ * of the read.
+ */
 public interface SettingsReader {
-    /** Reads a text that is not blank; without [default] the key is required. */
+    /** Reads a string that is not blank; the key is required if [default] is null. */
     public fun text(
         key: String,
         default: String? = null,
     ): String
 
-    /** Reads a text that may be absent, but not blank. */
+    /** Reads a string that may be absent, but not blank. */
     public fun optionalText(key: String): String?
 
     /** Reads a whole number within [allowed]. */
@@ -55,19 +58,19 @@
         default: Long? = null,
     ): Long
 
-    /** Reads true or false. */
+    /** Reads a boolean. */
     public fun flag(
         key: String,
         default: Boolean? = null,
     ): Boolean
 
-    /** Reads a list of texts. */
+    /** Reads a list of strings. */
     public fun textList(
         key: String,
         default: List<String>? = null,
     ): List<String>
 
-    /** Reads one of [allowed]. */
+    /** Reads a string that is one of [allowed]. */
     public fun choice(
         key: String,
         allowed: Set<String>,
@@ -89,24 +92,24 @@
         default: List<HostPort>? = null,
     ): List<HostPort>
 
-    /** Reads a table of addresses, such as node name to address; empty when absent. */
+    /** Reads a table of addresses, such as node name to address; empty if absent. */
     public fun addressTable(key: String): Map<String, HostPort>
 
-    /** Reads a table of texts, such as node name to address; empty when absent. */
+    /** Reads a table of strings, such as node name to address; empty if absent. */
     public fun textTable(key: String): Map<String, String>
 }
 
 /**
- * Reads the TOML [file] through [read] and returns either what it made or every fault of the file, by line.
+ * Reads the TOML [file] with [read] and returns either its result or all faults of the file, sorted by line.
  *
- * A key that [read] did not ask for is a fault. When the syntax is at fault, missing keys are not reported, because
- * the parser may have skipped them.
+ * A key that [read] does not read is a fault. If the file has syntax errors, missing keys are not reported, because the
+ * parser may have skipped them.
  */
 public fun <T : Any> readSettings(
     file: Path,
     read: SettingsReader.() -> T,
 ): Result<T, List<Fault>> {
-    val reading = readToml(file, read)
-    val value = reading.value
-    return if (value == null || reading.faults.isNotEmpty()) Err(reading.faults) else Ok(value)
+    val result = readToml(file, read)
+    val value = result.value
+    return if (value == null || result.faults.isNotEmpty()) Err(result.faults) else Ok(value)
 }
--- a/tables/src/main/kotlin/io/carawaytrack/tables/TableChecks.kt
+++ b/tables/src/main/kotlin/io/carawaytrack/tables/TableChecks.kt
@@ -1,6 +1,6 @@
 /*
- * What the two tables must fulfil, whether they come from files or over the administration API. Keys are named as in
- * the files, rows by their index from 0, so that a reader of the files can find the line.
+ * Validates the two tables, whether they come from files or from the administration API. Faults name keys as in the
+ * files and rows by their index from 0, so that the line can be found.
  */
 package io.carawaytrack.tables
 
@@ -10,27 +10,27 @@
 import io.carawaytrack.model.VersionState
 import io.carawaytrack.model.membersOf
 
-/** File name of faults in the organisations and routes when the tables come from no file. */
+/** File name in faults of organisations and routes if the tables were not read from files. */
 public const val ROUTES_TABLE: String = "routes"
 
-/** File name of faults in the pools when the tables come from no file. */
+/** File name in faults of pools if the tables were not read from files. */
 public const val POOLS_TABLE: String = "pools"
 
-internal val qualities = 0.0..1.0
+internal val qualityRange = 0.0..1.0
 
-internal val nameForm = Regex("[A-Za-z0-9][A-Za-z0-9._/-]{0,127}")
+internal val namePattern = Regex("[A-Za-z0-9][A-Za-z0-9._/-]{0,127}")
 
-private const val NAME_EXPECTED =
+private const val NAME_FORMAT =
     "a name of at most 128 letters, digits and ._/- that starts with a letter or digit"
 
-/** Checks the tables by themselves; returns every fault, or nothing when they may come into force. */
+/** Returns all faults of [tables], checked without the state in service; an empty list if they may come into force. */
 public fun checkTables(tables: Tables): List<Fault> =
     checkOrganisations(tables.organisations) + checkRoutes(tables) + checkPools(tables)
 
 /**
- * Checks that each route keeps, for each organisation it lists, an allowed version that is serving.
+ * Returns a fault for each organisation of a route that has no allowed version with the state `Serving`.
  *
- * @param stateOf state of a version in service, such as that of the configuration in force
+ * @param stateOf returns the state of a version, such as that in the configuration in force
  */
 public fun checkVersionStates(
     tables: Tables,
@@ -62,7 +62,7 @@
         key: String,
         name: String,
     ) {
-        if (!nameForm.matches(name)) add(key, name, NAME_EXPECTED)
+        if (!namePattern.matches(name)) add(key, name, NAME_FORMAT)
     }
 
     fun <T : Comparable<T>> checkRange(
@@ -73,7 +73,7 @@
         if (value !in allowed) add(key, value, "a number from ${allowed.start} to ${allowed.endInclusive}")
     }
 
-    /** Reports each of [values] that stands before it in the list already; [keyOf] names the key of an index. */
+    /** Adds a fault for each of [values] that equals an earlier one; [keyOf] returns the key of an index. */
     fun checkDistinct(
         values: List<Any>,
         keyOf: (Int) -> String,
@@ -92,5 +92,5 @@
     }
 }
 
-/** Renders a kind as the tables write it. */
+/** Returns the kind as it is written in the tables. */
 internal fun ServiceKind.word(): String = name.lowercase()
--- a/tables/src/main/kotlin/io/carawaytrack/tables/TableReader.kt
+++ b/tables/src/main/kotlin/io/carawaytrack/tables/TableReader.kt
@@ -1,6 +1,6 @@
 /*
- * The two tables as operators write them. Reading settles the types only; whether the values make sense is left to the
- * checks of TableChecks.kt, whose faults get here the file and line that they concern.
+ * Reads the two tables from the files of operators. The reader checks only types; TableChecks.kt validates the values,
+ * and the file and line are added to its faults here.
  */
 package io.carawaytrack.tables
 
@@ -20,59 +20,63 @@
 import io.carawaytrack.model.UpstreamId
 import java.nio.file.Path
 
-/** Gives the defaults of the keys that a row may leave out. */
-private val plainOrganisation = Organisation(OrganisationName(""), emptyList(), emptyList())
-private val plainRoute = Route("", ServiceKind.Model, emptyList(), "", null, emptyList(), PoolName(""))
-private val plainMember = PoolMember(ModelVersion("", ""))
+/** Provides the defaults of the optional keys of a row. */
+private val defaultOrganisation = Organisation(OrganisationName(""), emptyList(), emptyList())
+private val defaultRoute = Route("", ServiceKind.Model, emptyList(), "", null, emptyList(), PoolName(""))
+private val defaultMember = PoolMember(ModelVersion("", ""))
 
 private const val KIND_KEY = "kind"
 
 private val kinds = ServiceKind.entries.associateBy { it.name.lowercase() }
 private val priorities = Priority.entries.associateBy { it.name.lowercase() }
 
-/** Holds what the routes file says. */
+/** Holds the rows of the routes file. */
 private data class RoutesFile(
     val organisations: List<Organisation>,
     val routes: List<Route>,
 )
 
-/** Reads and checks both tables; returns either the tables or every fault, by file and line. */
+/** Reads and validates both tables; returns either the tables or all faults, sorted by file and line. */
 public fun readTables(
     routesFile: Path,
     poolsFile: Path,
 ): Result<Tables, List<Fault>> {
     val routes = readToml(routesFile) { routesFile() }
     val pools = readToml(poolsFile) { rows("pool") { pool() } }
-    val readFaults = (routes.faults + pools.faults).inOrder()
-    val routesRead = routes.completeValue()
-    val poolsRead = pools.completeValue()
-    // Without its kind a row cannot be held against the rows it is joined to.
+    val readFaults = (routes.faults + pools.faults).sortedByLine()
+    val routesValue = routes.completeValue()
+    val poolsValue = pools.completeValue()
+    // References to and from a row without a valid kind cannot be checked.
     val kindsKnown = readFaults.none { it.key.endsWith(".$KIND_KEY") }
-    if (routesRead == null || poolsRead == null || !kindsKnown) return Err(readFaults)
-
-    val tables = Tables(routesRead.organisations, routesRead.routes, poolsRead)
-    val places = mapOf(ROUTES_TABLE to TablePlaces(routesFile, routes), POOLS_TABLE to TablePlaces(poolsFile, pools))
-    val checkFaults = checkTables(tables).mapNotNull { places.getValue(it.file).place(it) }
+    if (routesValue == null || poolsValue == null || !kindsKnown) return Err(readFaults)
+
+    val tables = Tables(routesValue.organisations, routesValue.routes, poolsValue)
+    val locations =
+        mapOf(
+            ROUTES_TABLE to TableLocations(routesFile, routes),
+            POOLS_TABLE to TableLocations(poolsFile, pools),
+        )
+    val checkFaults = checkTables(tables).mapNotNull { locations.getValue(it.file).locate(it) }
     val faults = readFaults + checkFaults
-    return if (faults.isEmpty()) Ok(tables) else Err(faults.inOrder())
+    return if (faults.isEmpty()) Ok(tables) else Err(faults.sortedByLine())
 }
 
-private fun List<Fault>.inOrder(): List<Fault> = sortedWith(compareBy(Fault::file, Fault::line))
+private fun List<Fault>.sortedByLine(): List<Fault> = sortedWith(compareBy(Fault::file, Fault::line))
 
-/** Gives the faults of the checks their place in a table's file. */
-private class TablePlaces(
+/** Adds the file and line to the faults of a table's checks. */
+private class TableLocations(
     private val file: Path,
-    private val reading: Reading<*>,
+    private val result: ReadResult<*>,
 ) {
-    /** Returns [fault] with its file and line, or null when the same key was already found faulty while reading. */
-    fun place(fault: Fault): Fault? {
-        val known = reading.faults.any { it.key == fault.key || it.key.startsWith("${fault.key}[") }
+    /** Returns [fault] with its file and line, or null if the reader has already reported the same key. */
+    fun locate(fault: Fault): Fault? {
+        val known = result.faults.any { it.key == fault.key || it.key.startsWith("${fault.key}[") }
         if (known) return null
         return fault.copy(file = file.toString(), line = lineOf(fault.key))
     }
 
-    /** Returns the line of [key], or of the row that lacks it. */
-    private fun lineOf(key: String): Int = reading.lines[key] ?: reading.lines[key.substringBeforeLast('.')] ?: 0
+    /** Returns the line of [key], or of its row if the key is missing. */
+    private fun lineOf(key: String): Int = result.lines[key] ?: result.lines[key.substringBeforeLast('.')] ?: 0
 }
 
 private fun TomlReader.routesFile() = RoutesFile(
@@ -80,7 +84,7 @@
     routes = rows("route") { route() },
 )
 
-/** Reads at least one row, because a file without any is more likely a slip than a wish. */
+/** Reads at least one row, because a file without rows is more likely a mistake than intended. */
 private fun <T : Any> TomlReader.rows(
     key: String,
     read: TomlReader.() -> T,
@@ -93,7 +97,7 @@
     name = OrganisationName(text("name")),
     keySha256 = textList("key_sha256"),
     allows = textList("allows"),
-    share = int("share", Int.MIN_VALUE..Int.MAX_VALUE, plainOrganisation.share),
+    share = int("share", Int.MIN_VALUE..Int.MAX_VALUE, defaultOrganisation.share),
 )
 
 private fun TomlReader.route() = Route(
@@ -104,10 +108,10 @@
     model = optionalText("model"),
     organisations = textList("organisations"),
     pool = PoolName(text("pool")),
-    qualityTarget = decimal("quality_target", plainRoute.qualityTarget),
-    repeatableMethods = textList("repeatable_methods", plainRoute.repeatableMethods),
+    qualityTarget = decimal("quality_target", defaultRoute.qualityTarget),
+    repeatableMethods = textList("repeatable_methods", defaultRoute.repeatableMethods),
     priority = priority(),
-    timeoutMillis = long("timeout_millis", Long.MIN_VALUE..Long.MAX_VALUE, plainRoute.timeoutMillis),
+    timeoutMillis = long("timeout_millis", Long.MIN_VALUE..Long.MAX_VALUE, defaultRoute.timeoutMillis),
 )
 
 private fun TomlReader.pool() = Pool(
@@ -119,13 +123,13 @@
 
 private fun TomlReader.member() = PoolMember(
     version = version(),
-    costPerKiloToken = decimal("cost_per_kilotoken", plainMember.costPerKiloToken),
-    expectedQuality = decimal("expected_quality", plainMember.expectedQuality),
-    weight = int("weight", Int.MIN_VALUE..Int.MAX_VALUE, plainMember.weight),
+    costPerKiloToken = decimal("cost_per_kilotoken", defaultMember.costPerKiloToken),
+    expectedQuality = decimal("expected_quality", defaultMember.expectedQuality),
+    weight = int("weight", Int.MIN_VALUE..Int.MAX_VALUE, defaultMember.weight),
     upstreams = textList("upstreams", emptyList()).map(::UpstreamId),
 )
 
-/** Reads a plain service by `service`, and a model's version by `model` and `version`. */
+/** Reads a plain service from `service`, or the version of a model from `model` and `version`. */
 private fun TomlReader.version(): ModelVersion = if (has("service")) {
     ModelVersion(text("service"), ModelVersion.SERVICE_VERSION)
 } else {
@@ -135,4 +139,4 @@
 private fun TomlReader.kind(): ServiceKind = kinds.getValue(choice(KIND_KEY, kinds.keys))
 
 private fun TomlReader.priority(): Priority =
-    priorities.getValue(choice("priority", priorities.keys, plainRoute.priority.name.lowercase()))
+    priorities.getValue(choice("priority", priorities.keys, defaultRoute.priority.name.lowercase()))
--- a/tables/src/main/kotlin/io/carawaytrack/tables/TomlReader.kt
+++ b/tables/src/main/kotlin/io/carawaytrack/tables/TomlReader.kt
@@ -1,6 +1,6 @@
 /*
- * The reading of one TOML table with the place of every value kept. A fault does not stop the reading: it is reported,
- * and the caller goes on with a stand-in, so that one pass finds all faults of a file.
+ * Reads a TOML table and records the line of every value. A fault does not abort the read: it is recorded, and the
+ * caller continues with a placeholder, so that one pass finds all faults of a file.
  */
 package io.carawaytrack.tables
 
@@ -14,54 +14,54 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** Key of a fault that concerns the file as a whole. */
+/** Key of a fault that concerns the complete file. */
 private const val FILE_KEY = "(file)"
 
-/** Key of a fault that the parser found. */
+/** Key of a syntax error. */
 private const val SYNTAX_KEY = "(syntax)"
 
-/** Longest rendering of a value in a fault, in characters. */
-private const val SHOWN_VALUE_CHARS = 80
+/** Maximum length of a value in a fault, in characters; longer values are truncated. */
+private const val MAX_VALUE_CHARS = 80
 
-/** Stands in for an address that could not be read. */
-private val NO_ADDRESS = HostPort("127.0.0.1", 0)
+/** Placeholder for an address that is missing or invalid. */
+private val PLACEHOLDER_ADDRESS = HostPort("127.0.0.1", 0)
 
 /**
- * Holds what was read of a file, with every fault by line.
+ * Holds the result of reading a file, with all faults sorted by line.
  *
- * @property value null when the file could not be read at all
- * @property parsed false when the file is unreadable or its syntax is at fault, so that keys may have been skipped
- * @property lines line of each key that was read, by its full path
+ * @property value null if the file is unreadable
+ * @property parsed false if the file is unreadable or has syntax errors, so that keys may have been skipped
+ * @property lines line of each key that was read, by full path of the key
  */
-internal data class Reading<out T : Any>(
+internal data class ReadResult<out T : Any>(
     val value: T?,
     val faults: List<Fault>,
     val parsed: Boolean,
     val lines: Map<String, Int>,
 ) {
-    /** Returns the value, or null when keys may have been skipped. */
+    /** Returns the value, or null if keys may have been skipped. */
     fun completeValue(): T? = value.takeIf { parsed }
 }
 
-/** Parses [file] and reads its root table through [read]. */
+/** Parses [file] and reads its root table with [read]. */
 internal fun <T : Any> readToml(
     file: Path,
     read: TomlReader.() -> T,
-): Reading<T> {
+): ReadResult<T> {
     val text =
         try {
             Files.readString(file)
         } catch (e: IOException) {
             val fault = Fault(file.toString(), 0, FILE_KEY, e.toString(), "a readable file in UTF-8")
-            return Reading(null, listOf(fault), parsed = false, lines = emptyMap())
+            return ReadResult(null, listOf(fault), parsed = false, lines = emptyMap())
         }
     val root = Toml.parse(text)
     val syntaxFaults = syntaxFaults(file, text, root)
-    val journal = ReadingJournal(file.toString(), text.lines())
-    val value = TomlReader(journal, TomlPlace(root)).readAll(read)
-    val valueFaults = journal.faults.filter { syntaxFaults.isEmpty() || it.value != null }
+    val collector = FaultCollector(file.toString(), text.lines())
+    val value = TomlReader(collector, TableLocation(root)).readAll(read)
+    val valueFaults = collector.faults.filter { syntaxFaults.isEmpty() || it.value != null }
     val faults = (syntaxFaults + valueFaults).sortedBy(Fault::line)
-    return Reading(value, faults, parsed = syntaxFaults.isEmpty(), lines = journal.lines)
+    return ReadResult(value, faults, parsed = syntaxFaults.isEmpty(), lines = collector.lines)
 }
 
 private fun syntaxFaults(
@@ -72,13 +72,13 @@
     val source = text.lines()
     return root.errors().map { error ->
         val line = error.position().line()
-        val written = source.getOrNull(line - 1).orEmpty().trim()
-        Fault(file.toString(), line, SYNTAX_KEY, shorten(written), "valid TOML (${error.message})")
+        val sourceLine = source.getOrNull(line - 1).orEmpty().trim()
+        Fault(file.toString(), line, SYNTAX_KEY, truncate(sourceLine), "valid TOML (${error.message})")
     }
 }
 
-/** Collects the faults and the places of one file. */
-internal class ReadingJournal(
+/** Collects the faults and the line numbers of one file. */
+internal class FaultCollector(
     private val file: String,
     private val source: List<String>,
 ) {
@@ -86,8 +86,8 @@
     val lines = mutableMapOf<String, Int>()
 
     /**
-     * Returns the line of the value at [position]. The parser places an element of a list that stands on a line of its
-     * own at the line break before it.
+     * Returns the line of the value at [position]. For a list element on a separate line, the parser reports the
+     * position of the preceding line break.
      */
     fun valueLine(position: TomlPosition): Int {
         val first = position.line()
@@ -109,12 +109,12 @@
 }
 
 /**
- * Places one TOML table in its file.
+ * Maps the keys of one TOML table to full keys and lines of its file.
  *
  * @property prefix full path of the table, empty for the root
  * @property headerLine line at which the table starts, 0 for the root
  */
-internal class TomlPlace(
+internal class TableLocation(
     private val table: TomlTable,
     val prefix: String = "",
     val headerLine: Int = 0,
@@ -130,39 +130,39 @@
     /** Returns the paths of all values. */
     fun values(): Set<List<String>> = table.keyPathSet()
 
-    /** Returns the paths of the tables that hold nothing. */
+    /** Returns the paths of all empty tables. */
     fun emptyTables(): List<List<String>> =
         table.keyPathSet(true).filter { path -> (valueAt(path) as? TomlTable)?.isEmpty ?: false }
 }
 
 /** Reads the keys of one TOML table. */
 internal class TomlReader(
-    private val journal: ReadingJournal,
-    private val place: TomlPlace,
+    private val collector: FaultCollector,
+    private val location: TableLocation,
 ) : SettingsReader {
-    private val asked = linkedSetOf<List<String>>()
+    private val knownKeys = linkedSetOf<List<String>>()
 
-    /** Reads through [read] and reports the keys that it did not ask for. */
+    /** Reads the table with [read] and reports the keys that it did not read. */
     fun <T : Any> readAll(read: TomlReader.() -> T): T {
-        if (place.prefix.isNotEmpty()) journal.lines[place.prefix] = place.headerLine
+        if (location.prefix.isNotEmpty()) collector.lines[location.prefix] = location.headerLine
         val value = read()
         reportUnknownKeys()
         return value
     }
 
-    /** Returns whether [key] stands in the file, without asking for it. */
-    fun has(key: String): Boolean = place.valueAt(pathOf(key)) != null
+    /** Returns whether [key] is present, without marking it as known. */
+    fun has(key: String): Boolean = location.valueAt(pathOf(key)) != null
 
-    /** Reports that the value of [key] is not what is [expected]. */
+    /** Reports a value of [key] that differs from [expected]. */
     fun report(
         key: String,
         expected: String,
     ) {
         val path = pathOf(key)
-        journal.report(place.lineOf(path), place.fullKey(key), place.valueAt(path), expected)
+        collector.report(location.lineOf(path), location.fullKey(key), location.valueAt(path), expected)
     }
 
-    /** Reads each table of the array of tables [key], none when absent. */
+    /** Reads each table of the array of tables [key]; empty if absent. */
     fun <T : Any> tables(
         key: String,
         read: TomlReader.() -> T,
@@ -170,11 +170,16 @@
         val found = find(key) ?: return emptyList()
         return elements(key, found, "a table, written [[$key]]") { element, index, line ->
             val child = element as? TomlTable
-            child?.let { TomlReader(journal, TomlPlace(it, place.fullKey("$key[$index]"), line)).readAll(read) }
+            child?.let {
+                TomlReader(
+                    collector,
+                    TableLocation(it, location.fullKey("$key[$index]"), line),
+                ).readAll(read)
+            }
         }
     }
 
-    /** Reads a number, whole or with a fraction. */
+    /** Reads an integer or a floating-point number. */
     fun decimal(
         key: String,
         default: Double? = null,
@@ -183,7 +188,7 @@
     override fun text(
         key: String,
         default: String?,
-    ): String = value(key, default, "", "a text that is not blank", ::textOf)
+    ): String = value(key, default, "", "a text that is not blank", ::nonBlankString)
 
     override fun optionalText(key: String): String? = text(key, "").ifEmpty { null }
 
@@ -209,7 +214,7 @@
     override fun textList(
         key: String,
         default: List<String>?,
-    ): List<String> = list(key, default, "a text that is not blank", ::textOf)
+    ): List<String> = list(key, default, "a text that is not blank", ::nonBlankString)
 
     override fun choice(
         key: String,
@@ -222,12 +227,12 @@
     override fun address(
         key: String,
         default: HostPort?,
-    ): HostPort = value(key, default, NO_ADDRESS, ADDRESS, ::addressOf)
+    ): HostPort = value(key, default, PLACEHOLDER_ADDRESS, ADDRESS_FORMAT, ::parseAddress)
 
     override fun addressList(
         key: String,
         default: List<HostPort>?,
-    ): List<HostPort> = list(key, default, ADDRESS, ::addressOf)
+    ): List<HostPort> = list(key, default, ADDRESS_FORMAT, ::parseAddress)
 
     override fun optionalAddress(key: String): HostPort? = if (find(key) == null) null else address(key, null)
 
@@ -247,29 +252,29 @@
             report(key, expected)
             return emptyMap()
         }
-        val reader = TomlReader(journal, TomlPlace(entries, place.fullKey(key), place.lineOf(pathOf(key))))
+        val reader = TomlReader(collector, TableLocation(entries, location.fullKey(key), location.lineOf(pathOf(key))))
         return entries.keySet().associateWith { reader.read(Toml.joinKeyPath(listOf(it))) }
     }
 
-    /** Marks [key] as known and returns its value, or null when it is absent. */
+    /** Marks [key] as known and returns its value, or null if it is absent. */
     private fun find(key: String): Any? {
         val path = pathOf(key)
-        asked += path
-        journal.lines[place.fullKey(key)] = place.lineOf(path)
-        return place.valueAt(path)
+        knownKeys += path
+        collector.lines[location.fullKey(key)] = location.lineOf(path)
+        return location.valueAt(path)
     }
 
     private fun <T : Any> value(
         key: String,
         default: T?,
-        standIn: T,
+        placeholder: T,
         expected: String,
         convert: (Any) -> T?,
     ): T {
         val found = find(key)
         val read = if (found == null) default else convert(found)
         if (read == null) report(key, expected)
-        return read ?: default ?: standIn
+        return read ?: default ?: placeholder
     }
 
     private fun <T : Any> list(
@@ -296,39 +301,43 @@
             return emptyList()
         }
         return array.toList().mapIndexedNotNull { index, element ->
-            val line = journal.valueLine(array.inputPositionOf(index))
-            journal.lines[place.fullKey("$key[$index]")] = line
+            val line = collector.valueLine(array.inputPositionOf(index))
+            collector.lines[location.fullKey("$key[$index]")] = line
             val converted = convert(element, index, line)
-            if (converted == null) journal.report(line, place.fullKey("$key[$index]"), element, expected)
+            if (converted == null) collector.report(line, location.fullKey("$key[$index]"), element, expected)
             converted
         }
     }
 
     private fun reportUnknownKeys() {
-        val known = "a known key: " + asked.map(Toml::joinKeyPath).sorted().joinToString()
-        val values = place.values().filterNot(::isKnown)
-        val emptyTables = place.emptyTables().filterNot { isKnown(it) || asked.any { known -> known.startsWith(it) } }
+        val known = "a known key: " + knownKeys.map(Toml::joinKeyPath).sorted().joinToString()
+        val values = location.values().filterNot(::isKnown)
+        val emptyTables =
+            location.emptyTables().filterNot {
+                isKnown(it) ||
+                    knownKeys.any { known -> known.startsWith(it) }
+            }
         (values + emptyTables).forEach { path -> report(Toml.joinKeyPath(path), known) }
     }
 
-    private fun isKnown(path: List<String>): Boolean = asked.any(path::startsWith)
+    private fun isKnown(path: List<String>): Boolean = knownKeys.any(path::startsWith)
 }
 
-private const val ADDRESS = "an address such as 127.0.0.1:7000"
+private const val ADDRESS_FORMAT = "an address such as 127.0.0.1:7000"
 
-private fun textOf(found: Any): String? = (found as? String)?.takeIf(String::isNotBlank)
+private fun nonBlankString(found: Any): String? = (found as? String)?.takeIf(String::isNotBlank)
 
-private fun addressOf(found: Any): HostPort? = (found as? String)?.let(HostPort::parse)
+private fun parseAddress(found: Any): HostPort? = (found as? String)?.let(HostPort::parse)
 
-private fun <T> List<T>.startsWith(beginning: List<T>): Boolean = take(beginning.size) == beginning
+private fun <T> List<T>.startsWith(prefix: List<T>): Boolean = take(prefix.size) == prefix
 
 private fun render(found: Any): String = when (found) {
-    is TomlArray -> shorten(found.toList().joinToString(prefix = "[", postfix = "]", transform = ::render))
+    is TomlArray -> truncate(found.toList().joinToString(prefix = "[", postfix = "]", transform = ::render))
     is TomlTable -> "(table)"
-    else -> shorten(found.toString())
+    else -> truncate(found.toString())
 }
 
-private fun shorten(text: String): String =
-    if (text.length <= SHOWN_VALUE_CHARS) text else text.take(SHOWN_VALUE_CHARS) + "..."
+private fun truncate(text: String): String =
+    if (text.length <= MAX_VALUE_CHARS) text else text.take(MAX_VALUE_CHARS) + "..."
 
 private fun pathOf(key: String): List<String> = Toml.parseDottedKey(key)
--- a/tables/src/test/kotlin/io/carawaytrack/tables/TableReaderTest.kt
+++ b/tables/src/test/kotlin/io/carawaytrack/tables/TableReaderTest.kt
@@ -1,5 +1,6 @@
 /*
- * Tables as operators write them: sound ones, and one case for each way in which they can be wrong.
+ * Guards against invalid tables that are accepted, or reported without their file, line, key and expected value. Each
+ * kind of fault has one case.
  */
 package io.carawaytrack.tables
 
@@ -33,7 +34,7 @@
 private val DIGEST_A = "a".repeat(64)
 private val DIGEST_B = "b".repeat(64)
 
-private val SOUND_ROUTES =
+private val VALID_ROUTES =
     """
     [[organisation]]
     name = "north"
@@ -68,7 +69,7 @@
     timeout_millis = 5000
     """.trimIndent()
 
-private val SOUND_POOLS =
+private val VALID_POOLS =
     """
     [[pool]]
     name = "drafts"
@@ -98,7 +99,7 @@
     service = "orders"
     """.trimIndent()
 
-private val SOUND_TABLES =
+private val VALID_TABLES =
     Tables(
         organisations =
             listOf(
@@ -150,7 +151,7 @@
             ),
     )
 
-/** Replaces [old], which must stand in one of the sound files, by [new], and expects [faults]. */
+/** Replaces [old], which must occur in one of the valid files, by [new] and expects [faults]. */
 private data class TableFaultCase(
     val name: String,
     val old: String,
@@ -160,8 +161,8 @@
     constructor(name: String, old: String, new: String, fault: String) : this(name, old, new, listOf(fault))
 }
 
-private const val A_NAME = "a name of at most 128 letters, digits and ._/- that starts with a letter or digit"
-private const val AN_ORGANISATION = "the name of an organisation, or * alone for all"
+private const val NAME_FORMAT = "a name of at most 128 letters, digits and ._/- that starts with a letter or digit"
+private const val ORGANISATION_FORMAT = "the name of an organisation, or * alone for all"
 private const val MEMBER_KEYS = "cost_per_kilotoken, expected_quality, service, upstreams, weight"
 
 private val tableFaultCases =
@@ -179,7 +180,7 @@
             "pools:22: pools = [(table)]: expected a known key: pool",
         ),
         TableFaultCase(
-            "a missing key, once although the checks miss it too",
+            "a missing key, reported only once by the reader and the checks",
             "path_prefix = \"/orders\"\n",
             "",
             "routes:22: route[1].path_prefix = (missing): expected a text that is not blank",
@@ -194,13 +195,13 @@
             "an unknown organisation of a route",
             "organisations = [\"north\", \"south\"]",
             "organisations = [\"north\",\n\"east\"]",
-            "routes:19: route[0].organisations[1] = east: expected $AN_ORGANISATION",
+            "routes:19: route[0].organisations[1] = east: expected $ORGANISATION_FORMAT",
         ),
         TableFaultCase(
-            "a name beside the asterisk for all",
+            "a name in addition to the asterisk for all organisations",
             "organisations = [\"*\"]",
             "organisations = [\"*\", \"north\"]",
-            "routes:27: route[1].organisations[0] = *: expected $AN_ORGANISATION",
+            "routes:27: route[1].organisations[0] = *: expected $ORGANISATION_FORMAT",
         ),
         TableFaultCase(
             "an unknown included pool",
@@ -213,15 +214,15 @@
             "name = \"strong\"\nkind = \"model\"",
             "name = \"strong\"\nkind = \"model\"\nincludes = [\"drafts\"]",
             listOf(
-                "pools:4: pool[0].includes[0] = strong: expected a pool that does not include drafts in turn",
-                "pools:16: pool[1].includes[0] = drafts: expected a pool that does not include strong in turn",
+                "pools:4: pool[0].includes[0] = strong: expected a pool that does not include drafts",
+                "pools:16: pool[1].includes[0] = drafts: expected a pool that does not include strong",
             ),
         ),
         TableFaultCase(
             "a pool that includes itself",
             "includes = [\"strong\"]",
             "includes = [\"drafts\", \"strong\"]",
-            "pools:4: pool[0].includes[0] = drafts: expected a pool that does not include drafts in turn",
+            "pools:4: pool[0].includes[0] = drafts: expected a pool that does not include drafts",
         ),
         TableFaultCase(
             "two organisations of one name",
@@ -229,7 +230,7 @@
             "name = \"north\"",
             listOf(
                 "routes:8: organisation[1].name = north: expected a value that no earlier row has",
-                "routes:18: route[0].organisations[1] = south: expected $AN_ORGANISATION",
+                "routes:18: route[0].organisations[1] = south: expected $ORGANISATION_FORMAT",
             ),
         ),
         TableFaultCase(
@@ -248,33 +249,33 @@
             ),
         ),
         TableFaultCase(
-            "two routes that take the same requests",
+            "two routes that match the same requests",
             "path_prefix = \"/orders\"",
             "path_prefix = \"/v1/chat/completions\"\nmodel = \"quill\"",
             listOf(
                 "routes:26: route[1].path_prefix = /v1/chat/completions: expected a method, path, model or " +
-                    "organisation that route draft does not take",
-                "routes:27: route[1].model = quill: expected no model, as the route is of kind service",
+                    "organisation that route draft does not match",
+                "routes:27: route[1].model = quill: expected no model, because the route is of kind service",
             ),
         ),
         TableFaultCase(
-            "a version that stands twice in a pool",
+            "a version that occurs twice in a pool",
             "version = \"2\"\n",
             "version = \"2\"\ncost_per_kilotoken = 4\n[[pool.member]]\nmodel = \"quill\"\nversion = \"2\"\n",
             listOf(
-                "pools:4: pool[0].includes = quill@2: expected the same cost, quality, weight and upstreams wherever " +
-                    "a version stands",
+                "pools:4: pool[0].includes = quill@2: expected the same cost, quality, weight and upstreams in all " +
+                    "rows of a version",
                 "pools:20: pool[1].member[1] = quill@2: expected a value that no earlier row has",
             ),
         ),
         TableFaultCase(
-            "a kind that is none",
+            "an invalid kind",
             "name = \"strong\"\nkind = \"model\"",
             "name = \"strong\"\nkind = \"engine\"",
             "pools:15: pool[1].kind = engine: expected one of model, service",
         ),
         TableFaultCase(
-            "kinds that are none, without the faults of the join that would follow from any stand-in",
+            "invalid kinds, without the faults of references that would result from placeholders",
             "kind = \"service\"",
             "kind = \"servce\"",
             listOf(
@@ -323,7 +324,7 @@
                 "quill@1, quill@2",
         ),
         TableFaultCase(
-            "a route for all of which no organisation allows anything",
+            "a route for all organisations, none of which allows a version of the pool",
             "allows = [\"quill@*\", \"orders@service\"]",
             "allows = [\"quill@*\"]",
             "routes:27: route[1].organisations[0] = *: expected an organisation that allows one of: orders@service",
@@ -335,7 +336,7 @@
             "routes:20: route[0].quality_target = 0.95: expected at most 0.9, the best expected quality in pool drafts",
         ),
         TableFaultCase(
-            "a target that no version meets which a listed organisation allows",
+            "a target that no version allowed by a listed organisation meets",
             "quality_target = 0.6",
             "quality_target = 0.8",
             "routes:18: route[0].organisations[1] = south: expected an organisation that allows a version of " +
@@ -354,7 +355,7 @@
             "routes:20: route[0].quality_target = 1.5: expected a number from 0.0 to 1.0",
         ),
         TableFaultCase(
-            "a target that is no number",
+            "a target that is not a number",
             "quality_target = 0.6",
             "quality_target = nan",
             "routes:20: route[0].quality_target = NaN: expected a number from 0.0 to 1.0",
@@ -388,19 +389,19 @@
             "routes:3: organisation[0].key_sha256[0] = secret: expected 64 lower-case hexadecimal digits",
         ),
         TableFaultCase(
-            "a digest of two organisations",
+            "a digest used by two organisations",
             "[\"$DIGEST_B\"]",
             "[\"$DIGEST_A\"]",
-            "routes:9: organisation[1].key_sha256[0] = $DIGEST_A: expected a digest that north does not have already",
+            "routes:9: organisation[1].key_sha256[0] = $DIGEST_A: expected a digest not used by organisation north",
         ),
         TableFaultCase(
             "a pattern without a version",
             "allows = [\"quill@1\"]",
             "allows = [\"quill@1\", \"quill\"]",
-            "routes:10: organisation[1].allows[1] = quill: expected a pattern model@version, with * for any part",
+            "routes:10: organisation[1].allows[1] = quill: expected a pattern model@version, either part may be *",
         ),
         TableFaultCase(
-            "a method that is none and a repeatable one that the route does not take",
+            "an invalid method and a repeatable method that the route does not have",
             "methods = [\"GET\", \"POST\"]",
             "methods = [\"FETCH\", \"POST\"]",
             listOf(
@@ -409,18 +410,18 @@
             ),
         ),
         TableFaultCase(
-            "a path without its slash",
+            "a path without a leading slash",
             "path_prefix = \"/orders\"",
             "path_prefix = \"orders\"",
             "routes:26: route[1].path_prefix = orders: expected a path that starts with /",
         ),
         TableFaultCase(
-            "names that could not be told apart in a header or a pattern",
+            "names that would be ambiguous in a header or a pattern",
             "upstreams = [\"u-1\"]",
             "upstreams = [\"u 1\", \"u@1\"]",
             listOf(
-                "pools:11: pool[0].member[0].upstreams[0] = u 1: expected $A_NAME",
-                "pools:11: pool[0].member[0].upstreams[1] = u@1: expected $A_NAME",
+                "pools:11: pool[0].member[0].upstreams[0] = u 1: expected $NAME_FORMAT",
+                "pools:11: pool[0].member[0].upstreams[1] = u@1: expected $NAME_FORMAT",
             ),
         ),
         TableFaultCase(
@@ -430,15 +431,15 @@
             "routes:27: route[1].organisations = []: expected at least one element",
         ),
         TableFaultCase(
-            "wrong syntax, without the faults of the join that may follow from it",
+            "a syntax error, without the faults of references that may result from it",
             "name = \"drafts\"\n",
             "name = \"drafts\n",
             "pools:2: (syntax) = name = \"drafts: expected valid TOML (Unexpected end of line, expected \" " +
                 "or a character)",
         ),
         TableFaultCase(
-            "faults in both files at once",
-            SOUND_POOLS,
+            "faults in both files",
+            VALID_POOLS,
             "",
             listOf(
                 "pools:0: pool = (missing): expected at least one [[pool]]",
@@ -453,40 +454,40 @@
     lateinit var folder: Path
 
     private fun faultsOf(case: TableFaultCase): List<String> {
-        val routesFile = folder.resolve("routes.toml").apply { writeText(SOUND_ROUTES.replace(case.old, case.new)) }
-        val poolsFile = folder.resolve("pools.toml").apply { writeText(SOUND_POOLS.replace(case.old, case.new)) }
+        val routesFile = folder.resolve("routes.toml").apply { writeText(VALID_ROUTES.replace(case.old, case.new)) }
+        val poolsFile = folder.resolve("pools.toml").apply { writeText(VALID_POOLS.replace(case.old, case.new)) }
         return readTables(routesFile, poolsFile).getError().orEmpty().map { fault ->
             fault.copy(file = if (fault.file == poolsFile.toString()) "pools" else "routes").toString()
         }
     }
 
     @Test
-    fun `sound tables are read with their defaults`() {
-        val routesFile = folder.resolve("routes.toml").apply { writeText(SOUND_ROUTES) }
-        val poolsFile = folder.resolve("pools.toml").apply { writeText(SOUND_POOLS) }
-        expectThat(readTables(routesFile, poolsFile)).isEqualTo(Ok(SOUND_TABLES))
+    fun `valid tables are read with their defaults`() {
+        val routesFile = folder.resolve("routes.toml").apply { writeText(VALID_ROUTES) }
+        val poolsFile = folder.resolve("pools.toml").apply { writeText(VALID_POOLS) }
+        expectThat(readTables(routesFile, poolsFile)).isEqualTo(Ok(VALID_TABLES))
     }
 
     @TestFactory
-    fun `each fault is named with its file, line, key, value and what is expected`(): List<DynamicTest> =
+    fun `each fault is reported with its file, line, key, value and the expected value`(): List<DynamicTest> =
         tableFaultCases.map { case ->
             dynamicTest(case.name) { expectThat(faultsOf(case)).containsExactly(case.faults) }
         }
 
     @Test
-    fun `tables that come from no file are checked alike, without lines`() {
-        val faulty = SOUND_TABLES.copy(routes = SOUND_TABLES.routes.map { it.copy(pool = PoolName("none")) })
-        expectThat(checkTables(SOUND_TABLES)).isEmpty()
-        expectThat(checkTables(faulty).map(Fault::toString)).containsExactly(
+    fun `tables that were not read from files have the same faults without lines`() {
+        val invalid = VALID_TABLES.copy(routes = VALID_TABLES.routes.map { it.copy(pool = PoolName("none")) })
+        expectThat(checkTables(VALID_TABLES)).isEmpty()
+        expectThat(checkTables(invalid).map(Fault::toString)).containsExactly(
             "routes:0: route[0].pool = none: expected the name of a pool",
             "routes:0: route[1].pool = none: expected the name of a pool",
         )
     }
 
     @Test
-    fun `an included pool's members count as the pool's own, once each and also in a cycle`() {
-        val cyclic = SOUND_TABLES.pools.map { if (it.kind == ServiceKind.Model) it.copy(includes = cycle) else it }
-        listOf(SOUND_TABLES, SOUND_TABLES.copy(pools = cyclic)).forEach { tables ->
+    fun `members of included pools are listed once, even if pools include each other`() {
+        val cyclic = VALID_TABLES.pools.map { if (it.kind == ServiceKind.Model) it.copy(includes = cycle) else it }
+        listOf(VALID_TABLES, VALID_TABLES.copy(pools = cyclic)).forEach { tables ->
             expectThat(tables.membersOf(PoolName("drafts")).map { it.version.toString() })
                 .containsExactly("quill@1", "quill@2")
         }
@@ -495,7 +496,7 @@
     private val cycle = listOf(PoolName("strong"), PoolName("drafts"))
 
     @TestFactory
-    fun `a route is at fault that keeps no allowed serving version`(): List<DynamicTest> {
+    fun `a route without an allowed serving version is a fault`(): List<DynamicTest> {
         val south = "routes:0: route[0].organisations[1] = south: expected an organisation that allows one of: "
         val none = "(no version is serving)"
         return listOf(
@@ -511,7 +512,7 @@
         ).map { (withdrawn, faults) ->
             dynamicTest("with $withdrawn withdrawn") {
                 val found =
-                    checkVersionStates(SOUND_TABLES) { version ->
+                    checkVersionStates(VALID_TABLES) { version ->
                         if (version.toString() in withdrawn) VersionState.Withdrawn else VersionState.Serving
                     }
                 expectThat(found.map(Fault::toString)).containsExactly(faults)
