--- a/tables/src/test/kotlin/io/carawaytrack/tables/ExamplesTest.kt
+++ b/tables/src/test/kotlin/io/carawaytrack/tables/ExamplesTest.kt
@@ -1,5 +1,5 @@
 /*
- * The example tables that the project ships.
+ * Guards against example tables that contain faults.
  */
 package io.carawaytrack.tables
 
@@ -21,12 +21,12 @@
     private val deployments = Path.of("..", "examples").listDirectoryEntries().sorted()
 
     @Test
-    fun `both deployments have their tables`() {
+    fun `both deployments have example tables`() {
         expectThat(deployments.map { it.name }).containsExactly("penmark", "sajha")
     }
 
     @TestFactory
-    fun `each example is sound and serves ten organisations`(): List<DynamicTest> = deployments.map { folder ->
+    fun `each example is valid and has ten organisations`(): List<DynamicTest> = deployments.map { folder ->
         dynamicTest(folder.name) {
             val tables = readTables(folder.resolve("routes.toml"), folder.resolve("pools.toml"))
             expectThat(tables.getError().orEmpty()).isEmpty()
--- a/tables/src/test/kotlin/io/carawaytrack/tables/SettingsReaderTest.kt
+++ b/tables/src/test/kotlin/io/carawaytrack/tables/SettingsReaderTest.kt
@@ -1,5 +1,5 @@
 /*
- * Settings files as operators write them, sound and faulty.
+ * Guards against invalid settings that are accepted, or reported without their line, key and expected value.
  */
 package io.carawaytrack.tables
 
@@ -71,12 +71,12 @@
             ),
         ),
         FaultCase(
-            "a fraction where a whole number is asked for",
+            "a fraction instead of a whole number",
             "node.id = 'n'\nnode.threads = 1.5",
             listOf("2: node.threads = 1.5: expected a whole number from 1 to 64"),
         ),
         FaultCase(
-            "a flag, a choice and an address that are none",
+            "an invalid flag, choice and address",
             "node.id = 'n'\nnode.verbose = 'yes'\nnode.level = 'loud'\nnode.listen = 'here'",
             listOf(
                 "2: node.verbose = yes: expected true or false",
@@ -93,7 +93,7 @@
             ),
         ),
         FaultCase(
-            "a value where a list and a table are asked for",
+            "a value instead of a list or a table",
             "node.id = 'n'\ntokens = 1\nnode.tags = 'a'",
             listOf(
                 "2: tokens = 1: expected a table of texts",
@@ -101,17 +101,17 @@
             ),
         ),
         FaultCase(
-            "an entry of a table of texts",
+            "an invalid entry of a table of texts",
             "node.id = 'n'\n[tokens]\na = 'x'\n\"b.c\" = 2",
             listOf("4: tokens.\"b.c\" = 2: expected a text that is not blank"),
         ),
         FaultCase(
-            "a key that is not known",
+            "an unknown key",
             "node.id = 'n'\nnode.zoen = 'a'",
             listOf("2: node.zoen = a: expected a known key: $KNOWN_KEYS"),
         ),
         FaultCase(
-            "a value where a table of keys is asked for",
+            "a value instead of a table of keys",
             "node = 'n'",
             listOf(
                 "0: node.id = (missing): expected a text that is not blank",
@@ -119,12 +119,12 @@
             ),
         ),
         FaultCase(
-            "tables that hold nothing, of which one is known",
+            "empty tables, one of which is known",
             "node.id = 'n'\n[tokens]\n[other]\n",
             listOf("3: other = (table): expected a known key: $KNOWN_KEYS"),
         ),
         FaultCase(
-            "a line of wrong syntax beside a wrong value, without the keys that may have been skipped",
+            "a syntax error and an invalid value, without the keys that may have been skipped",
             "node.threads = 0\nnode.id = = 'n'",
             listOf(
                 "1: node.threads = 0: expected a whole number from 1 to 64",
@@ -141,7 +141,7 @@
     private val file by lazy { folder.resolve("node.toml") }
 
     @Test
-    fun `a sound file yields its values, and defaults for what it leaves out`() {
+    fun `a valid file yields its values and the defaults of omitted keys`() {
         file.writeText(
             """
             [node]
@@ -170,7 +170,7 @@
     }
 
     @TestFactory
-    fun `each fault is named with its line, key, value and what is expected`(): List<DynamicTest> =
+    fun `each fault is reported with its line, key, value and the expected value`(): List<DynamicTest> =
         faultCases.map { case ->
             dynamicTest(case.name) {
                 file.writeText(case.toml)
@@ -180,7 +180,7 @@
         }
 
     @Test
-    fun `a file that is absent, a folder or not UTF-8 is one fault of the file`() {
+    fun `a file that is missing, a directory or not UTF-8 is reported as one fault`() {
         val binary = folder.resolve("binary.toml").apply { writeBytes(byteArrayOf(-1, -2, 61)) }
         val directory = folder.resolve("directory.toml").createDirectory()
         listOf(file, binary, directory).forEach { unreadable ->
