--- a/tables/src/main/kotlin/io/carawaytrack/tables/OrganisationChecks.kt
+++ b/tables/src/main/kotlin/io/carawaytrack/tables/OrganisationChecks.kt
@@ -37,16 +37,11 @@
         if (!digestPattern.matches(digest)) add("$row.key_sha256[$n]", digest, "64 lower-case hexadecimal digits")
     }
     organisation.allows.forEachIndexed { n, pattern ->
-        if (!isVersionPattern(
-                pattern,
-            )
-        ) {
-            add("$row.allows[$n]", pattern, "a pattern model@version, either part may be *")
-        }
+        if (!isPattern(pattern)) add("$row.allows[$n]", pattern, "a pattern model@version, either part may be *")
     }
 }
 
-private fun isVersionPattern(pattern: String): Boolean {
+private fun isPattern(pattern: String): Boolean {
     val parts = ModelVersion.parse(pattern) ?: return false
     return listOf(parts.model, parts.version).all { it == "*" || namePattern.matches(it) }
 }
--- a/tables/src/main/kotlin/io/carawaytrack/tables/PoolChecks.kt
+++ b/tables/src/main/kotlin/io/carawaytrack/tables/PoolChecks.kt
@@ -49,7 +49,7 @@
     val nameKey = if (isService) "$row.service" else "$row.model"
     checkName(nameKey, member.version.model)
     if (!isService) checkName("$row.version", member.version.version)
-    if (isService != (kind == ServiceKind.Service)) add(nameKey, member.version, "a member of kind ${kind.word()}")
+    if (isService != (kind == ServiceKind.Service)) add(nameKey, member.version, "a member of kind ${kind.keyword()}")
     checkRange("$row.cost_per_kilotoken", member.costPerKiloToken, costRange)
     checkRange("$row.expected_quality", member.expectedQuality, qualityRange)
     checkRange("$row.weight", member.weight, weightRange)
@@ -65,7 +65,7 @@
     val target = tables.pools.firstOrNull { it.name == included }
     when {
         target == null -> add(key, included, "the name of a pool")
-        target.kind != pool.kind -> add(key, included, "a pool of kind ${pool.kind.word()}")
+        target.kind != pool.kind -> add(key, included, "a pool of kind ${pool.kind.keyword()}")
         tables.reachableFrom(included).any { it.name == pool.name } ->
             add(key, included, "a pool that does not include ${pool.name}")
     }
--- a/tables/src/main/kotlin/io/carawaytrack/tables/RouteChecks.kt
+++ b/tables/src/main/kotlin/io/carawaytrack/tables/RouteChecks.kt
@@ -95,7 +95,7 @@
         return
     }
     if (pool.kind != route.kind) {
-        add("$row.pool", route.pool, "a pool of kind ${route.kind.word()}")
+        add("$row.pool", route.pool, "a pool of kind ${route.kind.keyword()}")
         return
     }
     val members = tables.membersOf(route.pool)
--- a/tables/src/main/kotlin/io/carawaytrack/tables/TableChecks.kt
+++ b/tables/src/main/kotlin/io/carawaytrack/tables/TableChecks.kt
@@ -93,4 +93,4 @@
 }
 
 /** Returns the kind as it is written in the tables. */
-internal fun ServiceKind.word(): String = name.lowercase()
+internal fun ServiceKind.keyword(): String = name.lowercase()
--- a/tables/src/main/kotlin/io/carawaytrack/tables/TomlReader.kt
+++ b/tables/src/main/kotlin/io/carawaytrack/tables/TomlReader.kt
@@ -125,7 +125,7 @@
         if (valueAt(path) == null) headerLine else table.inputPositionOf(path)?.line() ?: headerLine
 
     fun valueAt(path: List<String>): Any? =
-        path.fold<String, Any?>(table) { found, name -> (found as? TomlTable)?.get(listOf(name)) }
+        path.fold<String, Any?>(table) { parent, name -> (parent as? TomlTable)?.get(listOf(name)) }
 
     /** Returns the paths of all values. */
     fun values(): Set<List<String>> = table.keyPathSet()
@@ -167,8 +167,8 @@
         key: String,
         read: TomlReader.() -> T,
     ): List<T> {
-        val found = find(key) ?: return emptyList()
-        return elements(key, found, "a table, written [[$key]]") { element, index, line ->
+        val raw = find(key) ?: return emptyList()
+        return elements(key, raw, "a table, written [[$key]]") { element, index, line ->
             val child = element as? TomlTable
             child?.let {
                 TomlReader(
@@ -202,8 +202,8 @@
         key: String,
         allowed: LongRange,
         default: Long?,
-    ): Long = value(key, default, allowed.first, "a whole number from ${allowed.first} to ${allowed.last}") { found ->
-        (found as? Long)?.takeIf { it in allowed }
+    ): Long = value(key, default, allowed.first, "a whole number from ${allowed.first} to ${allowed.last}") { raw ->
+        (raw as? Long)?.takeIf { it in allowed }
     }
 
     override fun flag(
@@ -220,8 +220,8 @@
         key: String,
         allowed: Set<String>,
         default: String?,
-    ): String = value(key, default, allowed.firstOrNull().orEmpty(), "one of ${allowed.joinToString()}") { found ->
-        (found as? String)?.takeIf { it in allowed }
+    ): String = value(key, default, allowed.firstOrNull().orEmpty(), "one of ${allowed.joinToString()}") { raw ->
+        (raw as? String)?.takeIf { it in allowed }
     }
 
     override fun address(
@@ -246,8 +246,8 @@
         expected: String,
         read: TomlReader.(key: String) -> T,
     ): Map<String, T> {
-        val found = find(key) ?: return emptyMap()
-        val entries = found as? TomlTable
+        val raw = find(key) ?: return emptyMap()
+        val entries = raw as? TomlTable
         if (entries == null) {
             report(key, expected)
             return emptyMap()
@@ -271,8 +271,8 @@
         expected: String,
         convert: (Any) -> T?,
     ): T {
-        val found = find(key)
-        val read = if (found == null) default else convert(found)
+        val raw = find(key)
+        val read = if (raw == null) default else convert(raw)
         if (read == null) report(key, expected)
         return read ?: default ?: placeholder
     }
@@ -283,19 +283,19 @@
         expected: String,
         convert: (Any) -> T?,
     ): List<T> {
-        val found = find(key)
-        if (found == null && default == null) report(key, "a list, each $expected")
-        if (found == null) return default.orEmpty()
-        return elements(key, found, expected) { element, _, _ -> convert(element) }
+        val raw = find(key)
+        if (raw == null && default == null) report(key, "a list, each $expected")
+        if (raw == null) return default.orEmpty()
+        return elements(key, raw, expected) { element, _, _ -> convert(element) }
     }
 
     private fun <T : Any> elements(
         key: String,
-        found: Any,
+        raw: Any,
         expected: String,
         convert: (element: Any, index: Int, line: Int) -> T?,
     ): List<T> {
-        val array = found as? TomlArray
+        val array = raw as? TomlArray
         if (array == null) {
             report(key, "a list, each $expected")
             return emptyList()
@@ -325,16 +325,16 @@
 
 private const val ADDRESS_FORMAT = "an address such as 127.0.0.1:7000"
 
-private fun nonBlankString(found: Any): String? = (found as? String)?.takeIf(String::isNotBlank)
+private fun nonBlankString(raw: Any): String? = (raw as? String)?.takeIf(String::isNotBlank)
 
-private fun parseAddress(found: Any): HostPort? = (found as? String)?.let(HostPort::parse)
+private fun parseAddress(raw: Any): HostPort? = (raw as? String)?.let(HostPort::parse)
 
 private fun <T> List<T>.startsWith(prefix: List<T>): Boolean = take(prefix.size) == prefix
 
-private fun render(found: Any): String = when (found) {
-    is TomlArray -> truncate(found.toList().joinToString(prefix = "[", postfix = "]", transform = ::render))
+private fun render(raw: Any): String = when (raw) {
+    is TomlArray -> truncate(raw.toList().joinToString(prefix = "[", postfix = "]", transform = ::render))
     is TomlTable -> "(table)"
-    else -> truncate(found.toString())
+    else -> truncate(raw.toString())
 }
 
 private fun truncate(text: String): String =
--- a/tables/src/test/kotlin/io/carawaytrack/tables/TableReaderTest.kt
+++ b/tables/src/test/kotlin/io/carawaytrack/tables/TableReaderTest.kt
@@ -511,11 +511,11 @@
                 listOf("routes:0: route[1].organisations[0] = *: expected an organisation that allows one of: $none"),
         ).map { (withdrawn, faults) ->
             dynamicTest("with $withdrawn withdrawn") {
-                val found =
+                val actual =
                     checkVersionStates(VALID_TABLES) { version ->
                         if (version.toString() in withdrawn) VersionState.Withdrawn else VersionState.Serving
                     }
-                expectThat(found.map(Fault::toString)).containsExactly(faults)
+                expectThat(actual.map(Fault::toString)).containsExactly(faults)
             }
         }
     }
--- a/wire/src/main/kotlin/io/carawaytrack/wire/Link.kt
+++ b/wire/src/main/kotlin/io/carawaytrack/wire/Link.kt
@@ -75,7 +75,7 @@
     public suspend fun receive(): Message?
 }
 
-/** Opens and accepts the links of one process. */
+/** Opens and accepts the links of one process; closing the hub closes all of them. */
 public interface LinkHub : AutoCloseable {
     /**
      * Connects to [address]. Fails with `ControlUnavailable` if no connection can be established, otherwise with the
@@ -197,7 +197,7 @@
 }
 
 private fun connectFailure(address: HostPort): Failure =
-    ErrorKind.ControlUnavailable.notRun("expected $address to accept a connection in $HANDSHAKE_TIMEOUT_MILLIS ms")
+    ErrorKind.ControlUnavailable.notRun("expected $address to accept a link within $HANDSHAKE_TIMEOUT_MILLIS ms")
 
 private class SocketLink(
     override val peer: PeerIdentity,
