--- a/wire/src/main/kotlin/io/carawaytrack/wire/Link.kt
+++ b/wire/src/main/kotlin/io/carawaytrack/wire/Link.kt
@@ -84,8 +84,8 @@
     public suspend fun connect(address: HostPort): Result<Link, Failure>
 
     /**
-     * Accepts links on [address] and runs [serve] for each of them, which is closed when [serve] returns. Returns the
-     * bound port, which the system chooses if the port of [address] is 0.
+     * Accepts links on [address] and runs [serve] for each; a link is closed when [serve] returns. Returns the bound
+     * port, which the operating system chooses if the port of [address] is 0.
      */
     public suspend fun listen(
         address: HostPort,
