--- a/standins/src/main/kotlin/io/carawaytrack/standins/ColdStart.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/ColdStart.kt
@@ -14,7 +14,7 @@
     private var starts = 1L
 
     /** Changes with every start, also with that of another process in its place. */
-    val bootId: Long get() = synchronized(lock) { firstBootMillis * STARTS_OF_A_PROCESS + starts }
+    val bootId: Long get() = synchronized(lock) { firstBootMillis * BOOT_IDS_PER_MILLI + starts }
 
     /** Whether it answers nothing because it has fallen over. */
     val isDown: Boolean get() = synchronized(lock) { nowMillis() < bootedAtMillis }
@@ -28,8 +28,8 @@
     fun bearing(): Int {
         val warmth = warmth()
         if (warmth >= 1.0) return Int.MAX_VALUE
-        val gain = (settings.maxRunning - settings.coldBearing).coerceAtLeast(0) * warmth
-        return settings.coldBearing + gain.toInt()
+        val gain = (settings.maxRunning - settings.coldCapacity).coerceAtLeast(0) * warmth
+        return settings.coldCapacity + gain.toInt()
     }
 
     /** Factor on the time of each token. */
@@ -47,6 +47,6 @@
     }
 
     private companion object {
-        const val STARTS_OF_A_PROCESS = 1_000L
+        const val BOOT_IDS_PER_MILLI = 1_000L
     }
 }
--- a/standins/src/main/kotlin/io/carawaytrack/standins/Counters.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/Counters.kt
@@ -72,7 +72,7 @@
         val before = requests[request] ?: RequestCounts()
         val ran = if (step == ExecutionStep.Started) before.versions + version else before.versions
         requests[request] = RequestCounts(before.counts.plus(step), ran)
-        if (requests.size > REQUESTS_KEPT) requests.remove(requests.keys.first())
+        if (requests.size > MAX_REQUESTS) requests.remove(requests.keys.first())
         versions[version] = (versions[version] ?: ExecutionCounts()).plus(step)
     }
 
@@ -99,6 +99,6 @@
     private fun update(change: (CounterReport) -> CounterReport): Unit = synchronized(lock) { report = change(report) }
 
     private companion object {
-        const val REQUESTS_KEPT = 50_000
+        const val MAX_REQUESTS = 50_000
     }
 }
--- a/standins/src/main/kotlin/io/carawaytrack/standins/Engine.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/Engine.kt
@@ -19,7 +19,7 @@
 import java.util.concurrent.atomic.AtomicLong
 import kotlin.random.Random
 
-internal enum class StopReason { Completed, Cancelled, FellOver, Broken }
+internal enum class StopReason { Completed, Cancelled, Crashed, Broken }
 
 internal enum class EngineRefusal(
     val status: Int,
@@ -27,14 +27,14 @@
     val message: String,
 ) {
     UnknownModel(404, "model_not_found", "the model is not loaded"),
-    NotHeld(404, "answer_not_held", "no answer of this request id is held"),
+    AnswerNotFound(404, "answer_not_held", "no answer of this request id is held"),
     Unavailable(503, "unavailable", "the engine does not answer"),
     Overloaded(503, "overloaded", "the engine was given more than it bears and restarts"),
     Failed(500, "internal_error", "the engine failed"),
 }
 
 /** Holds an answer, of which the first [produced] tokens have been worked out. */
-internal class HeldAnswer(
+internal class ResumableAnswer(
     val version: ModelVersion,
     val tokens: List<String>,
     val promptTokens: Long,
@@ -48,7 +48,7 @@
 /** Describes one request that the engine has taken, to be answered from token [from]. */
 internal class EngineWork(
     val requestId: String,
-    val answer: HeldAnswer,
+    val answer: ResumableAnswer,
     val from: Int,
     val priority: Priority,
 ) {
@@ -61,13 +61,13 @@
     private val timing: Timing,
 ) {
     val counters = Counters()
-    val orders = OrderBook(settings)
+    val orders = OrderProcessor(settings)
     val cache = PrefixCache(settings, timing.nowMillis)
     val cold = ColdStart(settings, timing.nowMillis)
     val faults = MutableStateFlow(settings.faults)
     private val slots = RunningSlots(settings.maxRunning)
-    private val load = LaggedLoad()
-    private val held = HeldAnswers(settings.heldAnswers)
+    private val load = LoadHistory()
+    private val held = ResumableAnswers(settings.resumableAnswers)
     private val active = ConcurrentHashMap.newKeySet<EngineWork>()
     private val received = AtomicInteger()
     private val queuedTokens = AtomicLong()
@@ -81,7 +81,7 @@
         return if (lagMillis == 0L) current else load.asOf(timing.nowMillis() - lagMillis) ?: current
     }
 
-    fun switchFaults(wanted: EngineFaults) {
+    fun replaceFaults(wanted: EngineFaults) {
         faults.value = wanted.copy(restartCold = false)
         if (wanted.restartCold) restart(downMillis = 0)
     }
@@ -120,7 +120,8 @@
         priority: Priority,
     ): Result<EngineWork, EngineRefusal> {
         if (isDown) return refuse(EngineRefusal.Unavailable)
-        val answer = held.get(requestId)?.takeIf { from in 0..it.produced } ?: return refuse(EngineRefusal.NotHeld)
+        val answer =
+            held.get(requestId)?.takeIf { from in 0..it.produced } ?: return refuse(EngineRefusal.AnswerNotFound)
         return receive(EngineWork(requestId, answer, from, priority), ExecutionStep.Resumed)
     }
 
@@ -155,17 +156,17 @@
 
     private fun fails(version: ModelVersion): Boolean {
         val fault = faults.value
-        return fault.harms(version) && synchronized(errors) { errors.nextDouble() } < fault.errorRatio
+        return fault.affects(version) && synchronized(errors) { errors.nextDouble() } < fault.errorRatio
     }
 
     private fun answerTo(
         request: ChatRequest,
         version: ModelVersion,
-    ): HeldAnswer {
+    ): ResumableAnswer {
         val prompt = request.prompt
         val count = minOf(settings.answerTokens, request.tokenLimit ?: settings.answerTokens).coerceAtLeast(1)
         val quality = qualityOf(settings.seed, prompt, meanQuality(version), settings.qualitySpread)
-        return HeldAnswer(
+        return ResumableAnswer(
             version = version,
             tokens = answerTokens(settings.seed, version, prompt, quality, count),
             promptTokens = tokensOf(prompt),
@@ -176,7 +177,7 @@
 
     private fun meanQuality(version: ModelVersion): Double {
         val fault = faults.value
-        val harmed = fault.quality?.takeIf { fault.harms(version) }
+        val harmed = fault.quality?.takeIf { fault.affects(version) }
         return harmed ?: settings.qualities[version.toString()] ?: settings.quality
     }
 
@@ -195,7 +196,7 @@
         val outgrown = settings.memoryTokens > 0 && holdsTokens > settings.memoryTokens
         if (holds <= cold.bearing() && !outgrown) return Ok(work)
         restart(settings.restartMillis)
-        finish(work, StopReason.FellOver)
+        finish(work, StopReason.Crashed)
         return Err(EngineRefusal.Overloaded)
     }
 
@@ -204,7 +205,7 @@
         cache.clear()
         held.clear()
         counters.restarted()
-        active.forEach { it.stop.complete(StopReason.FellOver) }
+        active.forEach { it.stop.complete(StopReason.Crashed) }
     }
 
     private suspend fun generate(
@@ -215,10 +216,10 @@
         recordLoad()
         val answer = work.answer
         if (answer.produced == 0) prefill(answer)
-        val pace = TokenPace(timing)
+        val pace = TokenPacer(timing)
         for (index in work.from until answer.tokens.size) {
-            val fault = faults.first { !it.stalls(answer.version, index) }
-            if (fault.breaks(answer.version, index)) return StopReason.Broken
+            val fault = faults.first { !it.stallsAt(answer.version, index) }
+            if (fault.breaksAt(answer.version, index)) return StopReason.Broken
             if (index >= answer.produced) pace.next(tokenMillis(answer.version))
             emit(answer.tokens[index])
             answer.produced = maxOf(answer.produced, index + 1)
@@ -228,7 +229,7 @@
         return StopReason.Completed
     }
 
-    private suspend fun prefill(answer: HeldAnswer) {
+    private suspend fun prefill(answer: ResumableAnswer) {
         val tokens = answer.promptTokens - answer.cachedTokens
         val millis = tokens * settings.prefillMillisPerKilotoken / TOKENS_PER_KILOTOKEN * cold.slowdown()
         if (millis >= 1) timing.delayMillis(millis.toLong())
@@ -236,7 +237,7 @@
 
     private fun tokenMillis(version: ModelVersion): Double {
         val fault = faults.value
-        val slowdown = if (fault.harms(version)) fault.tokenSlowdown else 1.0
+        val slowdown = if (fault.affects(version)) fault.tokenSlowdown else 1.0
         return settings.tokenMillis * slowdown * cold.slowdown()
     }
 
@@ -258,7 +259,7 @@
                 )
             }
             StopReason.Cancelled -> counters.step(work.requestId, version, ExecutionStep.Cancelled)
-            StopReason.FellOver, StopReason.Broken -> counters.step(work.requestId, version, ExecutionStep.Failed)
+            StopReason.Crashed, StopReason.Broken -> counters.step(work.requestId, version, ExecutionStep.Failed)
         }
         recordLoad()
     }
@@ -283,41 +284,41 @@
 }
 
 /** Keeps the answers that can be resumed; the oldest gives way. */
-private class HeldAnswers(
+private class ResumableAnswers(
     private val capacity: Int,
 ) {
     private val lock = Any()
-    private val answers = LinkedHashMap<String, HeldAnswer>()
+    private val answers = LinkedHashMap<String, ResumableAnswer>()
 
     fun put(
         requestId: String,
-        answer: HeldAnswer,
+        answer: ResumableAnswer,
     ): Unit = synchronized(lock) {
         answers.remove(requestId)
         answers[requestId] = answer
         if (answers.size > capacity) answers.remove(answers.keys.first())
     }
 
-    fun get(requestId: String): HeldAnswer? = synchronized(lock) { answers[requestId] }
+    fun get(requestId: String): ResumableAnswer? = synchronized(lock) { answers[requestId] }
 
     fun clear(): Unit = synchronized(lock) { answers.clear() }
 }
 
 /** Spaces tokens evenly; makes up for waits that took too long, but not for a reader that held them up. */
-private class TokenPace(
+private class TokenPacer(
     private val timing: Timing,
 ) {
     private var dueMillis = timing.nowMillis().toDouble()
 
     suspend fun next(tokenMillis: Double) {
         val nowMillis = timing.nowMillis()
-        if (nowMillis - dueMillis > LARGEST_ARREARS_MILLIS) dueMillis = nowMillis.toDouble()
+        if (nowMillis - dueMillis > MAX_CATCH_UP_MILLIS) dueMillis = nowMillis.toDouble()
         dueMillis += tokenMillis
         val waitMillis = (dueMillis - nowMillis).toLong()
         if (waitMillis > 0) timing.delayMillis(waitMillis)
     }
 
     private companion object {
-        const val LARGEST_ARREARS_MILLIS = 50
+        const val MAX_CATCH_UP_MILLIS = 50
     }
 }
--- a/standins/src/main/kotlin/io/carawaytrack/standins/EngineSettings.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/EngineSettings.kt
@@ -17,7 +17,7 @@
  * @property maxRunning requests that run at once; others wait
  * @property memoryTokens tokens of all held requests beyond which the engine falls over; 0 for no bound
  * @property coldStartMillis time from a start until the engine bears its full load
- * @property coldBearing requests that it bears at the very start
+ * @property coldCapacity requests that it bears at the very start
  * @property coldSlowdown factor on its token times at the very start
  * @property restartMillis time that it answers nothing after falling over
  * @property cacheBlocks capacity of the prefix cache, in blocks of [PREFIX_BLOCK_CHARS] characters
@@ -25,8 +25,8 @@
  * @property eventLagMillis age at which a cache event is first shown
  * @property eventLossRatio share of cache events, 0 to 1, that are never shown
  * @property loadModelMillis time that an order to load takes
- * @property honoursFencing whether an order with an older fencing number is refused
- * @property heldAnswers finished or broken answers that can still be resumed
+ * @property enforcesFencing whether an order with an older fencing number is refused
+ * @property resumableAnswers finished or broken answers that can still be resumed
  */
 public data class EngineSettings(
     val port: Int = 0,
@@ -40,7 +40,7 @@
     val maxRunning: Int = 16,
     val memoryTokens: Long = 0,
     val coldStartMillis: Long = 0,
-    val coldBearing: Int = 2,
+    val coldCapacity: Int = 2,
     val coldSlowdown: Double = 4.0,
     val restartMillis: Long = 500,
     val cacheBlocks: Int = 4_096,
@@ -48,8 +48,8 @@
     val eventLagMillis: Long = 0,
     val eventLossRatio: Double = 0.0,
     val loadModelMillis: Long = 0,
-    val honoursFencing: Boolean = true,
-    val heldAnswers: Int = 256,
+    val enforcesFencing: Boolean = true,
+    val resumableAnswers: Int = 256,
     val seed: Long = 1,
     val faults: EngineFaults = EngineFaults(),
 )
@@ -81,15 +81,15 @@
     val quality: Double? = null,
     val loadLagMillis: Long? = null,
 ) {
-    internal fun harms(version: ModelVersion): Boolean = versions.isEmpty() || version.toString() in versions
+    internal fun affects(version: ModelVersion): Boolean = versions.isEmpty() || version.toString() in versions
 
-    internal fun stalls(
+    internal fun stallsAt(
         version: ModelVersion,
         token: Int,
-    ): Boolean = stallAfterTokens != null && token >= stallAfterTokens && harms(version)
+    ): Boolean = stallAfterTokens != null && token >= stallAfterTokens && affects(version)
 
-    internal fun breaks(
+    internal fun breaksAt(
         version: ModelVersion,
         token: Int,
-    ): Boolean = breakAfterTokens != null && token >= breakAfterTokens && harms(version)
+    ): Boolean = breakAfterTokens != null && token >= breakAfterTokens && affects(version)
 }
--- a/standins/src/main/kotlin/io/carawaytrack/standins/EngineStandIn.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/EngineStandIn.kt
@@ -55,7 +55,7 @@
     public val state: EngineState
 
     /** Replaces the faults. */
-    public fun switchFaults(faults: EngineFaults)
+    public fun replaceFaults(faults: EngineFaults)
 }
 
 /** Starts an engine stand-in; [onCrash] is called in place of closing it when a request crashes it. */
@@ -94,7 +94,7 @@
     override val load: LoadReport get() = engine.currentLoad()
     override val state: EngineState get() = engine.orders.state
 
-    override fun switchFaults(faults: EngineFaults): Unit = engine.switchFaults(faults)
+    override fun replaceFaults(faults: EngineFaults): Unit = engine.replaceFaults(faults)
 
     override fun close(): Unit = server.close()
 
@@ -134,29 +134,29 @@
     private suspend fun RoutingCall.order() {
         receiveJson<EngineOrder>().mapBoth(
             success = { order ->
-                val fault = engine.orders.faultIn(order)
-                if (fault != null) return respondJson(Refusal(fault), HttpStatusCode.BadRequest)
+                val fault = engine.orders.validationError(order)
+                if (fault != null) return respondJson(ErrorReply(fault), HttpStatusCode.BadRequest)
                 val reply = engine.order(order)
                 respondJson(reply, if (reply.applied) HttpStatusCode.OK else HttpStatusCode.Conflict)
             },
-            failure = { respondJson(Refusal(it), HttpStatusCode.BadRequest) },
+            failure = { respondJson(ErrorReply(it), HttpStatusCode.BadRequest) },
         )
     }
 
     private suspend fun RoutingCall.cancel() {
         receiveJson<CancelRequest>().mapBoth(
             success = { respondJson(CancelReply(engine.cancel(it.requestId))) },
-            failure = { respondJson(Refusal(it), HttpStatusCode.BadRequest) },
+            failure = { respondJson(ErrorReply(it), HttpStatusCode.BadRequest) },
         )
     }
 
     private suspend fun RoutingCall.faults() {
         receiveJson<EngineFaults>().mapBoth(
             success = {
-                engine.switchFaults(it)
+                engine.replaceFaults(it)
                 respondJson(engine.faults.value)
             },
-            failure = { respondJson(Refusal(it), HttpStatusCode.BadRequest) },
+            failure = { respondJson(ErrorReply(it), HttpStatusCode.BadRequest) },
         )
     }
 
@@ -227,7 +227,7 @@
             ChatCompletion(
                 id = work.requestId,
                 kind = "chat.completion",
-                created = CREATED_SECONDS,
+                created = CREATED_EPOCH_SECONDS,
                 model = work.answer.version.toString(),
                 choices = listOf(CompletionChoice(0, AnswerMessage("assistant", text), work.finishReason())),
                 usage = work.usage(),
@@ -246,7 +246,7 @@
         event(work.chunk(Delta(content = first)))
         for (token in tokens) event(work.chunk(Delta(content = token)))
         val reason = outcome.await()
-        if (reason != StopReason.Completed) breakConnection()
+        if (reason != StopReason.Completed) abortConnection()
         val usage = work.usage()
         event(work.chunk(Delta(), work.finishReason(), usage.takeUnless { wantsUsageChunk }))
         if (wantsUsageChunk) event(work.chunk(delta = null, usage = usage))
@@ -266,7 +266,7 @@
     ) = ChatChunk(
         id = requestId,
         kind = "chat.completion.chunk",
-        created = CREATED_SECONDS,
+        created = CREATED_EPOCH_SECONDS,
         model = answer.version.toString(),
         choices = listOfNotNull(delta?.let { ChunkChoice(0, it, finishReason) }),
         usage = usage,
@@ -282,9 +282,9 @@
 
     private suspend fun RoutingCall.respondStopped(reason: StopReason) {
         when (reason) {
-            StopReason.Cancelled -> respondError(CLIENT_CLOSED, "cancelled", "the request was cancelled")
-            StopReason.FellOver -> respondRefusal(EngineRefusal.Overloaded)
-            StopReason.Completed, StopReason.Broken -> breakConnection()
+            StopReason.Cancelled -> respondError(CLIENT_CLOSED_REQUEST, "cancelled", "the request was cancelled")
+            StopReason.Crashed -> respondRefusal(EngineRefusal.Overloaded)
+            StopReason.Completed, StopReason.Broken -> abortConnection()
         }
     }
 
@@ -312,7 +312,7 @@
 
     private companion object {
         const val OUTPUT_BUFFER_TOKENS = 16
-        const val CREATED_SECONDS = 1_700_000_000L
-        val CLIENT_CLOSED = HttpStatusCode(499, "Client Closed Request")
+        const val CREATED_EPOCH_SECONDS = 1_700_000_000L
+        val CLIENT_CLOSED_REQUEST = HttpStatusCode(499, "Client Closed Request")
     }
 }
--- a/standins/src/main/kotlin/io/carawaytrack/standins/LaggedLoad.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/LoadHistory.kt
@@ -22,14 +22,14 @@
     val bootId: Long,
 )
 
-internal class LaggedLoad {
+internal class LoadHistory {
     private val lock = Any()
     private val history = ArrayDeque<LoadReport>()
 
     fun record(report: LoadReport): Unit = synchronized(lock) {
         if (history.lastOrNull()?.atMillis == report.atMillis) history.removeLast()
         history.addLast(report)
-        if (history.size > REPORTS_KEPT) history.removeFirst()
+        if (history.size > MAX_REPORTS) history.removeFirst()
     }
 
     /** Returns the newest report made at [atMillis] or before, else the oldest one. */
@@ -38,6 +38,6 @@
     }
 
     private companion object {
-        const val REPORTS_KEPT = 4_096
+        const val MAX_REPORTS = 4_096
     }
 }
--- a/standins/src/main/kotlin/io/carawaytrack/standins/LoopbackServer.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/LoopbackServer.kt
@@ -41,7 +41,7 @@
 
 /** Explains a refusal of a stand-in. */
 @Serializable
-internal data class Refusal(
+internal data class ErrorReply(
     val error: String,
 )
 
@@ -112,16 +112,16 @@
  * for among the parents by its name.
  */
 @OptIn(ExperimentalCoroutinesApi::class)
-internal suspend fun breakConnection(): Nothing {
+internal suspend fun abortConnection(): Nothing {
     val ancestors = generateSequence(currentCoroutineContext()[Job]) { it.parent }
     val connection =
         ancestors.first {
             (it as? CoroutineScope)?.coroutineContext?.get(
                 CoroutineName,
-            ) == CONNECTION_NAME
+            ) == CONNECTION_COROUTINE_NAME
         }
     connection.cancel()
     awaitCancellation()
 }
 
-private val CONNECTION_NAME = CoroutineName("http-pipeline")
+private val CONNECTION_COROUTINE_NAME = CoroutineName("http-pipeline")
--- a/standins/src/main/kotlin/io/carawaytrack/standins/Main.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/Main.kt
@@ -48,16 +48,16 @@
     description = ["Stands in for an upstream or a platform service, on loopback."],
     subcommands = [EngineCommand::class, ServiceCommand::class, RatingCommand::class, WeightsCommand::class],
 )
-private class StandInCommand : HelpfulCommand()
+private class StandInCommand : CommandWithHelp()
 
 /** Gives every command its help; picocli's own would also take `--version`, which an engine needs. */
-private abstract class HelpfulCommand {
+private abstract class CommandWithHelp {
     @Option(names = ["-h", "--help"], usageHelp = true, description = ["Shows this help."])
-    protected var isHelpAsked: Boolean = false
+    protected var isHelpRequested: Boolean = false
 }
 
-private abstract class ServingCommand :
-    HelpfulCommand(),
+private abstract class ServerCommand :
+    CommandWithHelp(),
     Callable<Int> {
     @Option(names = ["--port"], description = ["Port on 127.0.0.1; 0 takes a free one."])
     protected var port: Int = 0
@@ -69,7 +69,7 @@
 }
 
 @Command(name = "engine", description = ["Stands in for a model engine."])
-private class EngineCommand : ServingCommand() {
+private class EngineCommand : ServerCommand() {
     private val defaults = EngineSettings()
 
     @Option(names = ["--model"], description = ["Model that is loaded first."])
@@ -111,7 +111,7 @@
     private var coldStartMillis = defaults.coldStartMillis
 
     @Option(names = ["--cold-bearing"], description = ["Requests that it bears at the very start."])
-    private var coldBearing = defaults.coldBearing
+    private var coldCapacity = defaults.coldCapacity
 
     @Option(names = ["--restart-millis"], description = ["Time that it answers nothing after falling over."])
     private var restartMillis = defaults.restartMillis
@@ -129,7 +129,7 @@
     private var cacheBlocks = defaults.cacheBlocks
 
     @Option(names = ["--ignore-fencing"], description = ["Take orders with older fencing numbers."])
-    private var ignoresFencing = false
+    private var isFencingIgnored = false
 
     @Option(names = ["--crash-text"], description = ["A request with this text ends the process."])
     private var crashText: String? = null
@@ -153,20 +153,20 @@
         maxRunning = maxRunning,
         memoryTokens = memoryTokens,
         coldStartMillis = coldStartMillis,
-        coldBearing = coldBearing,
+        coldCapacity = coldCapacity,
         restartMillis = restartMillis,
         cacheBlocks = cacheBlocks,
         loadLagMillis = loadLagMillis,
         eventLagMillis = eventLagMillis,
         eventLossRatio = eventLossRatio,
-        honoursFencing = !ignoresFencing,
+        enforcesFencing = !isFencingIgnored,
         seed = seed,
         faults = EngineFaults(crashText = crashText),
     )
 }
 
 @Command(name = "service", description = ["Stands in for a stock and payment service."])
-private class ServiceCommand : ServingCommand() {
+private class ServiceCommand : ServerCommand() {
     private val defaults = ServiceSettings()
 
     @Option(names = ["--stock"], description = ["Pieces of every item at the start."])
@@ -182,7 +182,7 @@
 }
 
 @Command(name = "rating", description = ["Stands in for the rating service."])
-private class RatingCommand : ServingCommand() {
+private class RatingCommand : ServerCommand() {
     private val defaults = RatingSettings()
 
     @Option(names = ["--noise"], description = ["Standard deviation of the ratings."])
@@ -205,7 +205,7 @@
 }
 
 @Command(name = "weights", description = ["Stands in for the weight store."])
-private class WeightsCommand : ServingCommand() {
+private class WeightsCommand : ServerCommand() {
     private val defaults = WeightSettings()
 
     @Option(names = ["--downloads-per-window"], description = ["Downloads that are served within a window."])
--- a/standins/src/main/kotlin/io/carawaytrack/standins/Orders.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/Orders.kt
@@ -49,11 +49,11 @@
     val applied: List<EngineOrder> = emptyList(),
 )
 
-internal class OrderBook(
+internal class OrderProcessor(
     settings: EngineSettings,
 ) {
     private val lock = Any()
-    private val honoursFencing = settings.honoursFencing
+    private val enforcesFencing = settings.enforcesFencing
     private var current = EngineState(settings.versions)
 
     val state: EngineState get() = synchronized(lock) { current }
@@ -63,7 +63,7 @@
         state.versions.firstOrNull { it.toString() == model } ?: state.versions.firstOrNull { it.model == model }
 
     /** Returns why [order] can not be applied whatever its number, or null. */
-    fun faultIn(order: EngineOrder): String? = when (order.action) {
+    fun validationError(order: EngineOrder): String? = when (order.action) {
         OrderAction.Load, OrderAction.Unload ->
             "model and version are required".takeIf { order.model == null || order.version == null }
         OrderAction.LoadAdapter, OrderAction.UnloadAdapter ->
@@ -74,14 +74,14 @@
     /** Applies [order] unless its number is older than one that was seen and the engine honours numbers. */
     fun apply(order: EngineOrder): OrderReply = synchronized(lock) {
         val highest = current.highestFencingNumber
-        if (honoursFencing && order.fencingNumber < highest) {
+        if (enforcesFencing && order.fencingNumber < highest) {
             return OrderReply(false, highest, "fencing number ${order.fencingNumber} is older than $highest")
         }
         val changed = current.changedBy(order)
         current =
             changed.copy(
                 highestFencingNumber = maxOf(highest, order.fencingNumber),
-                applied = (changed.applied + order).takeLast(ORDERS_KEPT),
+                applied = (changed.applied + order).takeLast(MAX_ORDERS),
             )
         OrderReply(true, current.highestFencingNumber)
     }
@@ -99,6 +99,6 @@
     }
 
     private companion object {
-        const val ORDERS_KEPT = 1_000
+        const val MAX_ORDERS = 1_000
     }
 }
--- a/standins/src/main/kotlin/io/carawaytrack/standins/PrefixCache.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/PrefixCache.kt
@@ -86,11 +86,11 @@
         sequence += 1
         if (random.nextDouble() < settings.eventLossRatio) return
         events.addLast(CacheEvent(sequence, nowMillis(), kind, block))
-        if (events.size > EVENTS_KEPT) events.removeFirst()
+        if (events.size > MAX_EVENTS) events.removeFirst()
     }
 
     private companion object {
-        const val EVENTS_KEPT = 4_096
+        const val MAX_EVENTS = 4_096
         const val INITIAL_CAPACITY = 64
         const val LOAD_FACTOR = 0.75f
     }
--- a/standins/src/main/kotlin/io/carawaytrack/standins/RatingStandIn.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/RatingStandIn.kt
@@ -106,7 +106,7 @@
     private suspend fun RoutingCall.rate() {
         receiveJson<RatingRequest>().mapBoth(
             success = { respond(rate(settings, it)) },
-            failure = { respondJson(Refusal(it), HttpStatusCode.BadRequest) },
+            failure = { respondJson(ErrorReply(it), HttpStatusCode.BadRequest) },
         )
     }
 
@@ -114,7 +114,7 @@
         timing.delayMillis(settings.delayMillis)
         if (rating == null) {
             missing.incrementAndGet()
-            return respondJson(Refusal("no rating"), HttpStatusCode.NotFound)
+            return respondJson(ErrorReply("no rating"), HttpStatusCode.NotFound)
         }
         rated.incrementAndGet()
         respondJson(RatingReply(rating))
--- a/standins/src/main/kotlin/io/carawaytrack/standins/ServiceStandIn.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/ServiceStandIn.kt
@@ -103,7 +103,7 @@
     public val counters: CounterReport
 
     /** Replaces the faults. */
-    public fun switchFaults(faults: ServiceFaults)
+    public fun replaceFaults(faults: ServiceFaults)
 }
 
 /** Starts a service stand-in. */
@@ -126,7 +126,7 @@
     override val port: Int get() = server.port
     override val counters: CounterReport get() = counts.report()
 
-    override fun switchFaults(faults: ServiceFaults): Unit = this.faults.set(faults)
+    override fun replaceFaults(faults: ServiceFaults): Unit = this.faults.set(faults)
 
     override fun close(): Unit = server.close()
 
@@ -143,10 +143,10 @@
     private suspend fun RoutingCall.faults() {
         receiveJson<ServiceFaults>().mapBoth(
             success = {
-                switchFaults(it)
+                replaceFaults(it)
                 respondJson(it)
             },
-            failure = { respondJson(Refusal(it), HttpStatusCode.BadRequest) },
+            failure = { respondJson(ErrorReply(it), HttpStatusCode.BadRequest) },
         )
     }
 
@@ -156,7 +156,7 @@
     ) {
         receiveJson<I>().mapBoth(
             success = { input -> execute(operation) { run(input)?.let { standInJson.encodeToString(it) } } },
-            failure = { respondJson(Refusal(it), HttpStatusCode.BadRequest) },
+            failure = { respondJson(ErrorReply(it), HttpStatusCode.BadRequest) },
         )
     }
 
@@ -170,14 +170,14 @@
         timing.delayMillis(settings.delayMillis + faults.get().delayMillis)
         if (failurePoint == FailurePoint.BeforeRunning) {
             counts.refused()
-            return respondJson(Refusal("unavailable"), HttpStatusCode.ServiceUnavailable)
+            return respondJson(ErrorReply("unavailable"), HttpStatusCode.ServiceUnavailable)
         }
         counts.step(requestId, operation, ExecutionStep.Started)
         val reply = synchronized(lock) { run() }
         counts.step(requestId, operation, if (reply == null) ExecutionStep.Failed else ExecutionStep.Completed)
-        if (failurePoint == FailurePoint.AfterRunning) return breakConnection()
+        if (failurePoint == FailurePoint.AfterRunning) return abortConnection()
         response.header(REQUEST_ID_HEADER, requestId)
-        if (reply == null) return respondJson(Refusal("out of stock"), HttpStatusCode.Conflict)
+        if (reply == null) return respondJson(ErrorReply("out of stock"), HttpStatusCode.Conflict)
         respondText(reply, ContentType.Application.Json, HttpStatusCode.Created)
     }
 
--- a/standins/src/main/kotlin/io/carawaytrack/standins/WeightStandIn.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/WeightStandIn.kt
@@ -73,7 +73,7 @@
         if (waitMillis > 0) {
             val waitSeconds = (waitMillis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND
             response.header("Retry-After", waitSeconds.toString())
-            return respondJson(Refusal("too many downloads"), HttpStatusCode.TooManyRequests)
+            return respondJson(ErrorReply("too many downloads"), HttpStatusCode.TooManyRequests)
         }
         val seed = seedOf(settings.seed, parameters["model"].orEmpty(), parameters["version"].orEmpty())
         respondBytes(Random(seed).nextBytes(settings.weightBytes))
--- a/standins/src/test/kotlin/io/carawaytrack/standins/EngineStandInTest.kt
+++ b/standins/src/test/kotlin/io/carawaytrack/standins/EngineStandInTest.kt
@@ -3,8 +3,8 @@
  */
 package io.carawaytrack.standins
 
-import io.carawaytrack.standins.StandInCalls.Companion.CHAT
-import io.carawaytrack.standins.StandInCalls.Companion.chatBody
+import io.carawaytrack.standins.StandInClient.Companion.CHAT_PATH
+import io.carawaytrack.standins.StandInClient.Companion.chatBody
 import org.junit.jupiter.api.DynamicTest
 import org.junit.jupiter.api.DynamicTest.dynamicTest
 import org.junit.jupiter.api.Test
@@ -27,16 +27,16 @@
 class EngineStandInTest {
     private class Running(
         val standIn: EngineStandIn,
-        val clock: JumpingClock,
+        val clock: AutoAdvancingClock,
     ) {
-        val calls = StandInCalls(standIn.port)
+        val calls = StandInClient(standIn.port)
     }
 
     private fun withEngine(
         settings: EngineSettings = EngineSettings(),
         check: Running.() -> Unit,
     ) {
-        val clock = JumpingClock()
+        val clock = AutoAdvancingClock()
         EngineStandIn(settings, clock.timing).use { Running(it, clock).check() }
     }
 
@@ -88,7 +88,7 @@
     fun `answers take the published form`(): List<DynamicTest> = answerCases.map { case ->
         dynamicTest(case.name) {
             withEngine(EngineSettings(versions = listOf(QUILL_1, QUILL_2), answerTokens = 4)) {
-                val response = calls.post(CHAT, case.body)
+                val response = calls.post(CHAT_PATH, case.body)
                 expectThat(response.statusCode()).isEqualTo(case.status)
                 case.parts.forEach { expectThat(response.body()).contains(it) }
             }
@@ -119,7 +119,7 @@
     fun `faults change the answer and the counters`(): List<DynamicTest> = faultCases.map { case ->
         dynamicTest(case.name) {
             withEngine {
-                standIn.switchFaults(case.faults)
+                standIn.replaceFaults(case.faults)
                 val response = calls.chat(headers = arrayOf(REQUEST_ID_HEADER to "r1"))
                 expectThat(response.statusCode()).isEqualTo(case.status)
                 expectThat(standIn.counters.total).isEqualTo(case.counts)
@@ -130,21 +130,27 @@
 
     @Test
     fun `a connection that breaks in the middle leaves an answer without an end`() = withEngine {
-        standIn.switchFaults(EngineFaults(stallAfterTokens = 2))
-        val reader = calls.open(CHAT, chatBody(stream = true)).body().bufferedReader()
+        standIn.replaceFaults(EngineFaults(stallAfterTokens = 2))
+        val reader = calls.open(CHAT_PATH, chatBody(stream = true)).body().bufferedReader()
         expectThat(generateSequence { reader.readLine() }.first { "[q=" in it }).contains(""""content"""")
-        standIn.switchFaults(EngineFaults(breakAfterTokens = 2))
+        standIn.replaceFaults(EngineFaults(breakAfterTokens = 2))
         expectCatching { reader.readText() }.isFailure().isA<IOException>()
     }
 
     @Test
     fun `a broken answer is resumed from the token after the last one that came`() =
         withEngine(EngineSettings(answerTokens = 6)) {
-            val whole = calls.post(CHAT, chatBody(stream = true), REQUEST_ID_HEADER to "whole").body().contents()
-            standIn.switchFaults(EngineFaults(breakAfterTokens = 3))
-            expectCatching { calls.post(CHAT, chatBody(stream = true), REQUEST_ID_HEADER to "r1") }.isFailure()
-            standIn.switchFaults(EngineFaults())
-            val rest = calls.post(CHAT, chatBody(stream = true), REQUEST_ID_HEADER to "r1", RESUME_FROM_HEADER to "3")
+            val whole = calls.post(CHAT_PATH, chatBody(stream = true), REQUEST_ID_HEADER to "whole").body().contents()
+            standIn.replaceFaults(EngineFaults(breakAfterTokens = 3))
+            expectCatching { calls.post(CHAT_PATH, chatBody(stream = true), REQUEST_ID_HEADER to "r1") }.isFailure()
+            standIn.replaceFaults(EngineFaults())
+            val rest =
+                calls.post(
+                    CHAT_PATH,
+                    chatBody(stream = true),
+                    REQUEST_ID_HEADER to "r1",
+                    RESUME_FROM_HEADER to "3",
+                )
             expectThat(rest.body().contents()).isEqualTo(whole.drop(3))
             expectThat(
                 standIn.counters.requests
@@ -157,18 +163,18 @@
 
     @Test
     fun `a stalled answer goes on once the fault is cleared`() = withEngine {
-        standIn.switchFaults(EngineFaults(stallAfterTokens = 1))
-        val response = calls.open(CHAT, chatBody(stream = true))
+        standIn.replaceFaults(EngineFaults(stallAfterTokens = 1))
+        val response = calls.open(CHAT_PATH, chatBody(stream = true))
         val reader = response.body().bufferedReader()
         expectThat(reader.readLine()).contains("assistant")
-        standIn.switchFaults(EngineFaults())
+        standIn.replaceFaults(EngineFaults())
         expectThat(reader.readText()).endsWith("data: [DONE]\n\n")
     }
 
     @Test
     fun `a cancelled request ends and is counted`() = withEngine {
-        standIn.switchFaults(EngineFaults(stallAfterTokens = 1))
-        val response = calls.open(CHAT, chatBody(stream = true), REQUEST_ID_HEADER to "r1")
+        standIn.replaceFaults(EngineFaults(stallAfterTokens = 1))
+        val response = calls.open(CHAT_PATH, chatBody(stream = true), REQUEST_ID_HEADER to "r1")
         val reader = response.body().bufferedReader()
         reader.readLine()
         expectThat(calls.post("/cancel", """{"requestId":"r1"}""").body()).contains("true")
@@ -180,10 +186,10 @@
     @Test
     fun `a caller that goes away frees its slot`() =
         withEngine(EngineSettings(versions = listOf(QUILL_1, QUILL_2), maxRunning = 1)) {
-            standIn.switchFaults(EngineFaults(stallAfterTokens = 1, versions = listOf("quill@1")))
-            val open = calls.open(CHAT, chatBody(stream = true), REQUEST_ID_HEADER to "gone")
+            standIn.replaceFaults(EngineFaults(stallAfterTokens = 1, versions = listOf("quill@1")))
+            val open = calls.open(CHAT_PATH, chatBody(stream = true), REQUEST_ID_HEADER to "gone")
             open.body().read()
-            val waiting = calls.postLater(CHAT, chatBody(model = "quill@2"))
+            val waiting = calls.postAsync(CHAT_PATH, chatBody(model = "quill@2"))
             open.body().close()
             expectThat(waiting.join().statusCode()).isEqualTo(200)
             expectThat(
@@ -196,8 +202,8 @@
     @Test
     fun `an engine falls over when the requests it holds outgrow its memory`() =
         withEngine(EngineSettings(memoryTokens = 100, answerTokens = 60, restartMillis = 500)) {
-            standIn.switchFaults(EngineFaults(stallAfterTokens = 1))
-            calls.open(CHAT, chatBody(stream = true)).body().read()
+            standIn.replaceFaults(EngineFaults(stallAfterTokens = 1))
+            calls.open(CHAT_PATH, chatBody(stream = true)).body().read()
             expectThat(calls.chat().statusCode()).isEqualTo(503)
             expectThat(standIn.counters.restarts).isEqualTo(1)
             expectThat(standIn.load.queuedTokens).isEqualTo(0)
@@ -205,9 +211,9 @@
 
     @Test
     fun `given more than it bears an engine in a cold start falls over and starts again`() =
-        withEngine(EngineSettings(coldStartMillis = 60_000, coldBearing = 1, restartMillis = 1_000)) {
-            standIn.switchFaults(EngineFaults(stallAfterTokens = 1))
-            val first = calls.open(CHAT, chatBody(stream = true))
+        withEngine(EngineSettings(coldStartMillis = 60_000, coldCapacity = 1, restartMillis = 1_000)) {
+            standIn.replaceFaults(EngineFaults(stallAfterTokens = 1))
+            val first = calls.open(CHAT_PATH, chatBody(stream = true))
             val reader = first.body().bufferedReader()
             reader.readLine()
             expectThat(calls.chat().statusCode()).isEqualTo(503)
@@ -215,7 +221,7 @@
             expectThat(calls.get("/health").statusCode()).isEqualTo(503)
             clock.nowMillis.addAndGet(1_000)
             expectThat(calls.get("/health").body()).contains(""""bootId":2""").contains(""""cold":true""")
-            standIn.switchFaults(EngineFaults())
+            standIn.replaceFaults(EngineFaults())
             expectThat(calls.chat().statusCode()).isEqualTo(200)
         }
 
@@ -235,8 +241,9 @@
 
     @Test
     fun `a request with the marked text ends the engine and no other does`() {
-        val engine = EngineStandIn(EngineSettings(faults = EngineFaults(crashText = "boom")), JumpingClock().timing)
-        val calls = StandInCalls(engine.port)
+        val engine =
+            EngineStandIn(EngineSettings(faults = EngineFaults(crashText = "boom")), AutoAdvancingClock().timing)
+        val calls = StandInClient(engine.port)
         expectThat(calls.chat("calm").statusCode()).isEqualTo(200)
         expectCatching { calls.chat("boom") }.isFailure().isA<IOException>()
         expectCatching { calls.chat("calm") }.isFailure().isA<IOException>()
@@ -244,7 +251,7 @@
 
     private data class OrderCase(
         val name: String,
-        val honoursFencing: Boolean,
+        val enforcesFencing: Boolean,
         val numbers: List<Long>,
         val applied: List<Long>,
     )
@@ -259,7 +266,7 @@
     @TestFactory
     fun `orders go by their fencing numbers`(): List<DynamicTest> = orderCases.map { case ->
         dynamicTest(case.name) {
-            withEngine(EngineSettings(honoursFencing = case.honoursFencing)) {
+            withEngine(EngineSettings(enforcesFencing = case.enforcesFencing)) {
                 case.numbers.forEach {
                     calls.post(
                         "/orders",
@@ -295,8 +302,8 @@
                     .filter { it.isNotEmpty() }
             expectThat(kinds.map { it.substringAfter("\"kind\":\"").substringBefore('"') })
                 .containsExactly("Stored", "Removed", "Stored")
-            standIn.switchFaults(EngineFaults(stallAfterTokens = 1))
-            val open = calls.open(CHAT, chatBody(stream = true))
+            standIn.replaceFaults(EngineFaults(stallAfterTokens = 1))
+            val open = calls.open(CHAT_PATH, chatBody(stream = true))
             open.body().bufferedReader().readLine()
             expectThat(standIn.load.running).isEqualTo(1)
             expectThat(calls.get("/load").body()).contains(""""running":0""")
@@ -307,7 +314,7 @@
     @Test
     fun `a bad version rates low and the others do not`() =
         withEngine(EngineSettings(versions = listOf(QUILL_1, QUILL_2), quality = 0.9, qualitySpread = 0.0)) {
-            standIn.switchFaults(EngineFaults(quality = 0.1, versions = listOf("quill@2")))
+            standIn.replaceFaults(EngineFaults(quality = 0.1, versions = listOf("quill@2")))
             expectThat(calls.chat(model = "quill@1").rating()).isEqualTo(0.9)
             expectThat(calls.chat(model = "quill@2").rating()).isEqualTo(0.1)
         }
--- a/standins/src/test/kotlin/io/carawaytrack/standins/PlatformStandInsTest.kt
+++ b/standins/src/test/kotlin/io/carawaytrack/standins/PlatformStandInsTest.kt
@@ -32,9 +32,9 @@
     @TestFactory
     fun `answers are rated`(): List<DynamicTest> = ratingCases.map { case ->
         dynamicTest(case.name) {
-            RatingStandIn(case.settings, JumpingClock().timing).use { standIn ->
+            RatingStandIn(case.settings, AutoAdvancingClock().timing).use { standIn ->
                 val body = """{"request":"r1","model":"quill","version":"1","answer":"${case.answer}"}"""
-                val response = StandInCalls(standIn.port).post("/rate", body)
+                val response = StandInClient(standIn.port).post("/rate", body)
                 val rating = response.body().filter { it.isDigit() || it == '.' }.toDoubleOrNull() ?: 0.0
                 expectThat(response.statusCode()).isEqualTo(case.status)
                 expectThat(rating).isIn(case.ratings)
@@ -51,10 +51,10 @@
 
     @Test
     fun `downloads beyond the rate are refused until the window has passed`() {
-        val clock = JumpingClock()
+        val clock = AutoAdvancingClock()
         val settings = WeightSettings(downloadsPerWindow = 2, windowMillis = 1_500)
         WeightStandIn(settings, clock.timing).use { standIn ->
-            val calls = StandInCalls(standIn.port)
+            val calls = StandInClient(standIn.port)
             val responses = List(3) { calls.get("/weights/quill/1") }
             expectThat(responses.map { it.statusCode() }).containsExactly(200, 200, 429)
             expectThat(
--- a/standins/src/test/kotlin/io/carawaytrack/standins/ServiceStandInTest.kt
+++ b/standins/src/test/kotlin/io/carawaytrack/standins/ServiceStandInTest.kt
@@ -16,10 +16,12 @@
 import java.io.IOException
 
 class ServiceStandInTest {
-    private fun withService(check: (ServiceStandIn, StandInCalls) -> Unit) =
-        ServiceStandIn(ServiceSettings(stock = 5), JumpingClock().timing).use { check(it, StandInCalls(it.port)) }
+    private fun withService(check: (ServiceStandIn, StandInClient) -> Unit) = ServiceStandIn(
+        ServiceSettings(stock = 5),
+        AutoAdvancingClock().timing,
+    ).use { check(it, StandInClient(it.port)) }
 
-    private fun StandInCalls.reserve(
+    private fun StandInClient.reserve(
         quantity: Int,
         request: String = "r1",
     ) = post("/stock/reservations", """{"item":"spring","quantity":$quantity}""", REQUEST_ID_HEADER to request)
@@ -70,7 +72,7 @@
 
     @Test
     fun `a call that fails before running changes nothing`() = withService { standIn, calls ->
-        standIn.switchFaults(ServiceFaults(failurePoint = FailurePoint.BeforeRunning, failures = 1))
+        standIn.replaceFaults(ServiceFaults(failurePoint = FailurePoint.BeforeRunning, failures = 1))
         expectThat(calls.reserve(1).statusCode()).isEqualTo(503)
         expectThat(standIn.counters.total.started).isEqualTo(0)
         expectThat(calls.reserve(1).statusCode()).isEqualTo(201)
--- a/standins/src/test/kotlin/io/carawaytrack/standins/StandInCalls.kt
+++ b/standins/src/test/kotlin/io/carawaytrack/standins/StandInClient.kt
@@ -14,7 +14,7 @@
 import java.util.concurrent.atomic.AtomicLong
 
 /** Jumps ahead by whatever anyone waits for. */
-class JumpingClock {
+class AutoAdvancingClock {
     val nowMillis = AtomicLong()
     val timing = Timing({ nowMillis.get() }, { nowMillis.addAndGet(it) })
 }
@@ -22,7 +22,7 @@
 val QUILL_1 = ModelVersion("quill", "1")
 val QUILL_2 = ModelVersion("quill", "2")
 
-class StandInCalls(
+class StandInClient(
     private val port: Int,
 ) {
     private val client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build()
@@ -33,28 +33,28 @@
         path: String,
         body: String,
         vararg headers: Pair<String, String>,
-    ): HttpResponse<String> = client.send(posting(path, body, *headers), BodyHandlers.ofString())
+    ): HttpResponse<String> = client.send(postRequest(path, body, *headers), BodyHandlers.ofString())
 
-    fun postLater(
+    fun postAsync(
         path: String,
         body: String,
         vararg headers: Pair<String, String>,
     ): CompletableFuture<HttpResponse<String>> =
-        client.sendAsync(posting(path, body, *headers), BodyHandlers.ofString())
+        client.sendAsync(postRequest(path, body, *headers), BodyHandlers.ofString())
 
     fun open(
         path: String,
         body: String,
         vararg headers: Pair<String, String>,
-    ): HttpResponse<InputStream> = client.send(posting(path, body, *headers), BodyHandlers.ofInputStream())
+    ): HttpResponse<InputStream> = client.send(postRequest(path, body, *headers), BodyHandlers.ofInputStream())
 
     fun chat(
         prompt: String = "a letter",
         model: String = "quill",
         vararg headers: Pair<String, String>,
-    ): HttpResponse<String> = post(CHAT, chatBody(prompt, model), *headers)
+    ): HttpResponse<String> = post(CHAT_PATH, chatBody(prompt, model), *headers)
 
-    private fun posting(
+    private fun postRequest(
         path: String,
         body: String,
         vararg headers: Pair<String, String>,
@@ -66,7 +66,7 @@
     private fun request(path: String) = HttpRequest.newBuilder(URI.create("http://127.0.0.1:$port$path"))
 
     companion object {
-        const val CHAT = "/v1/chat/completions"
+        const val CHAT_PATH = "/v1/chat/completions"
 
         fun chatBody(
             prompt: String = "a letter",
