--- a/fakes/src/main/kotlin/io/carawaytrack/fakes/FakeLink.kt
+++ b/fakes/src/main/kotlin/io/carawaytrack/fakes/FakeLink.kt
@@ -1,6 +1,6 @@
 /*
- * A link without a network for tests: the test plays the peer. It puts messages in, reads what the tested side has
- * sent, and can cut the link at any point. Nothing waits on time, only on messages.
+ * An in-memory link for tests, which act as the remote peer: a test delivers messages to the side under test, reads
+ * the messages that it sends, and can close the link at any point. Nothing depends on timing, only on messages.
  */
 package io.carawaytrack.fakes
 
@@ -13,13 +13,13 @@
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.channels.Channel
 
-/** Identifies a process of the tests in zone `z1`. */
+/** Returns the identity of a test process in zone `z1`. */
 public fun testPeer(
     node: String,
     role: NodeRole,
 ): PeerIdentity = PeerIdentity(NodeId(node), role, ZoneName("z1"))
 
-/** Joins the tested side to a peer that the test plays. */
+/** Connects the side under test to a [peer] whose part the test takes. */
 public class FakeLink(
     override val peer: PeerIdentity,
 ) : Link {
@@ -29,15 +29,15 @@
     /** Completed when either side has closed the link. */
     public val closed: CompletableDeferred<Unit> = CompletableDeferred()
 
-    /** Puts [message] in front of the tested side. */
+    /** Delivers [message] to the side under test. */
     public fun deliver(message: Message) {
         inbox.trySend(message)
     }
 
-    /** Returns the next message that the tested side has sent. */
+    /** Waits for the next message from the side under test and returns it. */
     public suspend fun sent(): Message = outbox.receive()
 
-    /** Returns a message already sent, or null. */
+    /** Returns the next message already sent by the side under test, or null if there is none. */
     public fun sentAlready(): Message? = outbox.tryReceive().getOrNull()
 
     override suspend fun send(message: Message): Boolean = offer(message)
@@ -46,14 +46,14 @@
 
     override suspend fun receive(): Message? = inbox.receiveCatching().getOrNull()
 
-    /** Closes the link; what has been delivered can still be read. */
+    /** Closes the link; messages delivered before can still be received. */
     override fun close() {
         inbox.close()
         closed.complete(Unit)
     }
 }
 
-/** Returns the next message of type [T] that the tested side has sent, and drops those before it. */
+/** Waits for the next message of type [T] from the side under test and returns it, dropping those before it. */
 public suspend inline fun <reified T : Message> FakeLink.sentOf(): T {
     while (true) {
         val message = sent()
