--- a/standins/src/main/kotlin/io/carawaytrack/standins/AnswerText.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/AnswerText.kt
@@ -1,6 +1,6 @@
 /*
- * The text of a stand-in's answers: a marker of its quality, which the rating stand-in reads, followed by words that
- * depend on nothing but seed, version and prompt.
+ * Generates the text of a stand-in's answers: a marker with the answer's quality, which the rating stand-in reads,
+ * followed by words that depend only on seed, version and prompt.
  */
 package io.carawaytrack.standins
 
@@ -13,15 +13,15 @@
 private val QUALITY_MARKER = Regex("""\[q=([01]\.\d+)]""")
 private const val CHARS_PER_TOKEN = 4
 
-/** Mixes parts into one seed; equal parts give equal seeds in every process. */
+/** Derives a seed from [seed] and [parts]; equal arguments give equal seeds in every process. */
 internal fun seedOf(
     seed: Long,
     vararg parts: String,
-): Long = parts.fold(seed) { mixed, part -> mixed * HASH_FACTOR + part.hashCode() }
+): Long = parts.fold(seed) { mixed, part -> mixed * HASH_MULTIPLIER + part.hashCode() }
 
-private const val HASH_FACTOR = 1_000_003L
+private const val HASH_MULTIPLIER = 1_000_003L
 
-/** Returns the quality of an answer: [mean] moved within [spread] by how hard the prompt is. */
+/** Returns the quality of an answer, drawn by prompt from a band of width [spread] around [mean], within 0 to 1. */
 internal fun qualityOf(
     seed: Long,
     prompt: String,
@@ -29,17 +29,17 @@
     spread: Double,
 ): Double = (mean - spread / 2 + Random(seedOf(seed, prompt)).nextDouble() * spread).coerceIn(0.0, 1.0)
 
-/** Renders the marker that opens an answer. */
+/** Formats the marker at the start of an answer. */
 internal fun qualityMarker(quality: Double): String = "[q=%.3f]".format(Locale.ROOT, quality)
 
-/** Reads the marker from [answer]; returns null when it has none. */
+/** Returns the quality in the marker of [answer], or null if it has no marker. */
 internal fun markedQuality(answer: String): Double? = QUALITY_MARKER
     .find(answer)
     ?.groupValues
     ?.get(1)
     ?.toDouble()
 
-/** Returns the [count] tokens of an answer, the first of which is the marker. */
+/** Returns the [count] tokens of an answer, the first of which is the quality marker. */
 internal fun answerTokens(
     seed: Long,
     version: ModelVersion,
@@ -51,5 +51,5 @@
     return List(count) { if (it == 0) qualityMarker(quality) else " " + WORDS.random(random) }
 }
 
-/** Returns how many tokens [text] counts for. */
+/** Returns the number of tokens that [text] is counted as, one per [CHARS_PER_TOKEN] characters, rounded up. */
 internal fun tokensOf(text: String): Long = (text.length + CHARS_PER_TOKEN - 1L) / CHARS_PER_TOKEN
--- a/standins/src/main/kotlin/io/carawaytrack/standins/ChatMessages.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/ChatMessages.kt
@@ -1,5 +1,5 @@
 /*
- * The published form of chat completions, as far as the engine stand-in reads and writes it.
+ * The subset of the public chat completions API that the engine stand-in reads and writes.
  */
 package io.carawaytrack.standins
 
@@ -12,7 +12,7 @@
 import kotlinx.serialization.json.JsonPrimitive
 import kotlinx.serialization.json.contentOrNull
 
-/** Leaves out what is absent, as the published form does. */
+/** JSON of the chat completions API, which omits absent fields. */
 internal val chatJson: Json = Json { ignoreUnknownKeys = true }
 
 @Serializable
--- a/standins/src/main/kotlin/io/carawaytrack/standins/ColdStart.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/ColdStart.kt
@@ -1,6 +1,6 @@
 /*
- * The warmth of an engine stand-in. After a start it bears few requests and is slow; both ease until the cold start is
- * over. Given more than it bears, it falls over: it answers nothing for a while and starts cold again.
+ * The cold start of an engine stand-in. After a start it has little capacity and is slow; both improve linearly until
+ * the cold start is over. Above its capacity it crashes: it is down for a while and then starts cold again.
  */
 package io.carawaytrack.standins
 
@@ -13,35 +13,35 @@
     private var bootedAtMillis = firstBootMillis
     private var starts = 1L
 
-    /** Changes with every start, also with that of another process in its place. */
+    /** Identifies a start of the engine; the start of a replacement process also gets a new one. */
     val bootId: Long get() = synchronized(lock) { firstBootMillis * BOOT_IDS_PER_MILLI + starts }
 
-    /** Whether it answers nothing because it has fallen over. */
+    /** Whether the engine is down after a crash. */
     val isDown: Boolean get() = synchronized(lock) { nowMillis() < bootedAtMillis }
 
-    /** Time until it answers again. */
+    /** Time until the engine is up again. */
     val downMillis: Long get() = synchronized(lock) { maxOf(0, bootedAtMillis - nowMillis()) }
 
-    val isCold: Boolean get() = warmth() < 1.0
+    val isCold: Boolean get() = warmRatio() < 1.0
 
-    /** Requests that it bears now, running and waiting; [Int.MAX_VALUE] once warm, when the others wait. */
-    fun bearing(): Int {
-        val warmth = warmth()
-        if (warmth >= 1.0) return Int.MAX_VALUE
-        val gain = (settings.maxRunning - settings.coldCapacity).coerceAtLeast(0) * warmth
+    /** Requests, running and waiting, above which the engine crashes; [Int.MAX_VALUE] once warm, as it then queues. */
+    fun capacity(): Int {
+        val warmRatio = warmRatio()
+        if (warmRatio >= 1.0) return Int.MAX_VALUE
+        val gain = (settings.maxRunning - settings.coldCapacity).coerceAtLeast(0) * warmRatio
         return settings.coldCapacity + gain.toInt()
     }
 
-    /** Factor on the time of each token. */
-    fun slowdown(): Double = settings.coldSlowdown + (1.0 - settings.coldSlowdown) * warmth()
+    /** Factor on the time of prefill and of each token. */
+    fun slowdown(): Double = settings.coldSlowdown + (1.0 - settings.coldSlowdown) * warmRatio()
 
-    /** Starts again, cold, after [downMillis]. */
+    /** Restarts the engine cold after [downMillis]. */
     fun restart(downMillis: Long): Unit = synchronized(lock) {
         bootedAtMillis = nowMillis() + downMillis
         starts += 1
     }
 
-    private fun warmth(): Double = synchronized(lock) {
+    private fun warmRatio(): Double = synchronized(lock) {
         if (settings.coldStartMillis == 0L) return 1.0
         ((nowMillis() - bootedAtMillis).toDouble() / settings.coldStartMillis).coerceIn(0.0, 1.0)
     }
--- a/standins/src/main/kotlin/io/carawaytrack/standins/Counters.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/Counters.kt
@@ -1,12 +1,12 @@
 /*
- * Counts of what a stand-in has executed, by request id and by version. Tests and the demo read them to prove that a
- * request ran once, or never.
+ * Counters of what a stand-in has executed, by request id and by version. Tests and the demo use them to verify that a
+ * request ran exactly once or not at all.
  */
 package io.carawaytrack.standins
 
 import kotlinx.serialization.Serializable
 
-/** Counts executions. A request that was cancelled or failed had started before. */
+/** Counts executions; a cancelled or failed execution is also counted in [started] or [resumed]. */
 @Serializable
 public data class ExecutionCounts(
     val started: Long = 0,
@@ -27,7 +27,7 @@
 /**
  * Counts the executions of one request id.
  *
- * @property versions versions that started it, in order
+ * @property versions versions that started the request, in order
  */
 @Serializable
 public data class RequestCounts(
@@ -36,10 +36,10 @@
 )
 
 /**
- * Answers `GET /counters`.
+ * Reply to `GET /counters`.
  *
- * @property peakReceived most requests that were held at once, running or waiting
- * @property restarts cold starts since the process began
+ * @property peakReceived highest number of requests in progress at once, running or waiting
+ * @property restarts cold starts since the start of the process, not counting the first
  */
 @Serializable
 public data class CounterReport(
@@ -56,41 +56,41 @@
 
 internal enum class ExecutionStep { Started, Completed, Cancelled, Failed, Resumed }
 
-/** Holds the counts under one lock; forgets the oldest request ids beyond a bound. */
+/** Thread-safe counters; evicts the oldest request ids above [MAX_REQUESTS]. */
 internal class Counters {
     private val lock = Any()
     private var report = CounterReport()
     private val requests = LinkedHashMap<String, RequestCounts>()
     private val versions = HashMap<String, ExecutionCounts>()
 
-    fun step(
+    fun record(
         request: String,
         version: String,
         step: ExecutionStep,
     ): Unit = synchronized(lock) {
         report = report.copy(total = report.total.plus(step))
         val before = requests[request] ?: RequestCounts()
-        val ran = if (step == ExecutionStep.Started) before.versions + version else before.versions
-        requests[request] = RequestCounts(before.counts.plus(step), ran)
+        val startedVersions = if (step == ExecutionStep.Started) before.versions + version else before.versions
+        requests[request] = RequestCounts(before.counts.plus(step), startedVersions)
         if (requests.size > MAX_REQUESTS) requests.remove(requests.keys.first())
         versions[version] = (versions[version] ?: ExecutionCounts()).plus(step)
     }
 
-    fun held(
-        received: Int,
+    fun updatePeaks(
+        inProgress: Int,
         running: Int,
     ): Unit = update {
-        it.copy(peakReceived = maxOf(it.peakReceived, received), peakRunning = maxOf(it.peakRunning, running))
+        it.copy(peakReceived = maxOf(it.peakReceived, inProgress), peakRunning = maxOf(it.peakRunning, running))
     }
 
-    fun tokens(
+    fun addTokens(
         prompt: Long,
         answer: Long,
     ): Unit = update { it.copy(promptTokens = it.promptTokens + prompt, answerTokens = it.answerTokens + answer) }
 
-    fun refused(): Unit = update { it.copy(refused = it.refused + 1) }
+    fun countRefused(): Unit = update { it.copy(refused = it.refused + 1) }
 
-    fun restarted(): Unit = update { it.copy(restarts = it.restarts + 1) }
+    fun countRestart(): Unit = update { it.copy(restarts = it.restarts + 1) }
 
     fun report(): CounterReport = synchronized(lock) {
         report.copy(requests = requests.toMap(), versions = versions.toMap())
--- a/standins/src/main/kotlin/io/carawaytrack/standins/Engine.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/Engine.kt
@@ -1,6 +1,6 @@
 /*
- * What an engine stand-in does with a request, apart from HTTP: whether it takes it, at what pace it produces tokens,
- * what makes it fall over, and what it still holds for a caller that comes back.
+ * The emulated inference engine behind an engine stand-in, without HTTP: admission of requests, token pace, crashes
+ * under overload, and the answers that are retained so that a caller can resume them.
  */
 package io.carawaytrack.standins
 
@@ -27,26 +27,26 @@
     val message: String,
 ) {
     UnknownModel(404, "model_not_found", "the model is not loaded"),
-    AnswerNotFound(404, "answer_not_held", "no answer of this request id is held"),
-    Unavailable(503, "unavailable", "the engine does not answer"),
-    Overloaded(503, "overloaded", "the engine was given more than it bears and restarts"),
+    AnswerNotFound(404, "answer_not_held", "no resumable answer of this request id reaches the requested token"),
+    Unavailable(503, "unavailable", "the engine is down"),
+    Overloaded(503, "overloaded", "the engine exceeded its capacity and is restarting"),
     Failed(500, "internal_error", "the engine failed"),
 }
 
-/** Holds an answer, of which the first [produced] tokens have been worked out. */
+/** An answer whose first [produced] tokens have been generated and can be replayed. */
 internal class ResumableAnswer(
     val version: ModelVersion,
     val tokens: List<String>,
     val promptTokens: Long,
     val cachedTokens: Long,
-    val isShortened: Boolean,
+    val isTruncated: Boolean,
 ) {
     @Volatile
     var produced: Int = 0
 }
 
-/** Describes one request that the engine has taken, to be answered from token [from]. */
-internal class EngineWork(
+/** An admitted request, which is answered from token [from]. */
+internal class EngineRequest(
     val requestId: String,
     val answer: ResumableAnswer,
     val from: Int,
@@ -63,103 +63,103 @@
     val counters = Counters()
     val orders = OrderProcessor(settings)
     val cache = PrefixCache(settings, timing.nowMillis)
-    val cold = ColdStart(settings, timing.nowMillis)
+    val coldStart = ColdStart(settings, timing.nowMillis)
     val faults = MutableStateFlow(settings.faults)
     private val slots = RunningSlots(settings.maxRunning)
-    private val load = LoadHistory()
-    private val held = ResumableAnswers(settings.resumableAnswers)
-    private val active = ConcurrentHashMap.newKeySet<EngineWork>()
-    private val received = AtomicInteger()
+    private val loadHistory = LoadHistory()
+    private val resumable = ResumableAnswers(settings.resumableAnswers)
+    private val active = ConcurrentHashMap.newKeySet<EngineRequest>()
+    private val inProgress = AtomicInteger()
     private val queuedTokens = AtomicLong()
-    private val errors = Random(settings.seed)
+    private val errorRandom = Random(settings.seed)
 
-    val isDown: Boolean get() = faults.value.down || cold.isDown
+    val isDown: Boolean get() = faults.value.down || coldStart.isDown
 
     fun loadReport(): LoadReport {
         val lagMillis = faults.value.loadLagMillis ?: settings.loadLagMillis
         val current = currentLoad()
-        return if (lagMillis == 0L) current else load.asOf(timing.nowMillis() - lagMillis) ?: current
+        return if (lagMillis == 0L) current else loadHistory.asOf(timing.nowMillis() - lagMillis) ?: current
     }
 
-    fun replaceFaults(wanted: EngineFaults) {
-        faults.value = wanted.copy(restartCold = false)
-        if (wanted.restartCold) restart(downMillis = 0)
+    fun replaceFaults(replacement: EngineFaults) {
+        faults.value = replacement.copy(restartCold = false)
+        if (replacement.restartCold) restart(downMillis = 0)
     }
 
-    suspend fun order(order: EngineOrder): OrderReply {
+    suspend fun apply(order: EngineOrder): OrderReply {
         if (order.action == OrderAction.Load) timing.delayMillis(settings.loadModelMillis)
         return orders.apply(order)
     }
 
-    /** Stops every running request with [requestId]; returns whether there was one. */
+    /** Cancels every running or waiting request with [requestId]; returns whether there was one. */
     fun cancel(requestId: String): Boolean =
         active.filter { it.requestId == requestId }.onEach { it.stop.complete(StopReason.Cancelled) }.isNotEmpty()
 
-    /** Takes in [request], or tells why not. */
+    /** Admits [request], or returns the reason for its refusal. */
     fun admit(
         requestId: String,
         request: ChatRequest,
         priority: Priority,
-    ): Result<EngineWork, EngineRefusal> {
+    ): Result<EngineRequest, EngineRefusal> {
         if (isDown) return refuse(EngineRefusal.Unavailable)
         val version = orders.resolve(request.model) ?: return refuse(EngineRefusal.UnknownModel)
-        if (fails(version)) {
-            counters.step(requestId, version.toString(), ExecutionStep.Started)
-            counters.step(requestId, version.toString(), ExecutionStep.Failed)
+        if (shouldFail(version)) {
+            counters.record(requestId, version.toString(), ExecutionStep.Started)
+            counters.record(requestId, version.toString(), ExecutionStep.Failed)
             return Err(EngineRefusal.Failed)
         }
-        val answer = answerTo(request, version)
-        return receive(EngineWork(requestId, answer, from = 0, priority), ExecutionStep.Started)
-            .also { held.put(requestId, answer) }
+        val answer = createAnswer(request, version)
+        return start(EngineRequest(requestId, answer, from = 0, priority), ExecutionStep.Started)
+            .also { resumable.put(requestId, answer) }
     }
 
-    /** Takes up the answer of [requestId] again from token [from], or tells why not. */
+    /** Resumes the answer of [requestId] from token [from], or returns the reason for the refusal. */
     fun resume(
         requestId: String,
         from: Int,
         priority: Priority,
-    ): Result<EngineWork, EngineRefusal> {
+    ): Result<EngineRequest, EngineRefusal> {
         if (isDown) return refuse(EngineRefusal.Unavailable)
         val answer =
-            held.get(requestId)?.takeIf { from in 0..it.produced } ?: return refuse(EngineRefusal.AnswerNotFound)
-        return receive(EngineWork(requestId, answer, from, priority), ExecutionStep.Resumed)
+            resumable.get(requestId)?.takeIf { from in 0..it.produced } ?: return refuse(EngineRefusal.AnswerNotFound)
+        return start(EngineRequest(requestId, answer, from, priority), ExecutionStep.Resumed)
     }
 
-    /** Works out [work] and hands each token to [emit], until it is complete or stopped. */
+    /** Runs [request] in a batch slot and passes each token to [emit], until the answer is complete or stopped. */
     suspend fun run(
-        work: EngineWork,
+        request: EngineRequest,
         emit: suspend (String) -> Unit,
     ): StopReason {
         var reason = StopReason.Cancelled
         try {
             coroutineScope {
                 val generation =
-                    launch { slots.run(work.priority) { work.stop.complete(generate(work, emit)) } }
+                    launch { slots.run(request.priority) { request.stop.complete(generate(request, emit)) } }
                 val stopper =
                     launch {
-                        reason = work.stop.await()
+                        reason = request.stop.await()
                         if (reason != StopReason.Completed) generation.cancel()
                     }
                 generation.join()
                 stopper.join()
             }
         } finally {
-            finish(work, reason)
+            finish(request, reason)
         }
         return reason
     }
 
-    private fun refuse(refusal: EngineRefusal): Result<EngineWork, EngineRefusal> {
-        counters.refused()
+    private fun refuse(refusal: EngineRefusal): Result<EngineRequest, EngineRefusal> {
+        counters.countRefused()
         return Err(refusal)
     }
 
-    private fun fails(version: ModelVersion): Boolean {
+    private fun shouldFail(version: ModelVersion): Boolean {
         val fault = faults.value
-        return fault.affects(version) && synchronized(errors) { errors.nextDouble() } < fault.errorRatio
+        return fault.affects(version) && synchronized(errorRandom) { errorRandom.nextDouble() } < fault.errorRatio
     }
 
-    private fun answerTo(
+    private fun createAnswer(
         request: ChatRequest,
         version: ModelVersion,
     ): ResumableAnswer {
@@ -170,60 +170,60 @@
             version = version,
             tokens = answerTokens(settings.seed, version, prompt, quality, count),
             promptTokens = tokensOf(prompt),
-            cachedTokens = cache.take(prompt),
-            isShortened = count < settings.answerTokens,
+            cachedTokens = cache.lookUpAndStore(prompt),
+            isTruncated = count < settings.answerTokens,
         )
     }
 
     private fun meanQuality(version: ModelVersion): Double {
         val fault = faults.value
-        val harmed = fault.quality?.takeIf { fault.affects(version) }
-        return harmed ?: settings.qualities[version.toString()] ?: settings.quality
+        val faultyQuality = fault.quality?.takeIf { fault.affects(version) }
+        return faultyQuality ?: settings.qualities[version.toString()] ?: settings.quality
     }
 
-    private fun receive(
-        work: EngineWork,
+    private fun start(
+        request: EngineRequest,
         step: ExecutionStep,
-    ): Result<EngineWork, EngineRefusal> {
-        val answer = work.answer
+    ): Result<EngineRequest, EngineRefusal> {
+        val answer = request.answer
         val tokens = answer.promptTokens + answer.tokens.size
-        val holds = received.incrementAndGet()
-        val holdsTokens = queuedTokens.addAndGet(tokens)
-        work.remainingTokens.set(tokens)
-        counters.held(holds, slots.running)
-        active += work
-        counters.step(work.requestId, answer.version.toString(), step)
-        val outgrown = settings.memoryTokens > 0 && holdsTokens > settings.memoryTokens
-        if (holds <= cold.bearing() && !outgrown) return Ok(work)
+        val requestCount = inProgress.incrementAndGet()
+        val tokenCount = queuedTokens.addAndGet(tokens)
+        request.remainingTokens.set(tokens)
+        counters.updatePeaks(requestCount, slots.running)
+        active += request
+        counters.record(request.requestId, answer.version.toString(), step)
+        val exceedsMemory = settings.memoryTokens > 0 && tokenCount > settings.memoryTokens
+        if (requestCount <= coldStart.capacity() && !exceedsMemory) return Ok(request)
         restart(settings.restartMillis)
-        finish(work, StopReason.Crashed)
+        finish(request, StopReason.Crashed)
         return Err(EngineRefusal.Overloaded)
     }
 
     private fun restart(downMillis: Long) {
-        cold.restart(downMillis)
+        coldStart.restart(downMillis)
         cache.clear()
-        held.clear()
-        counters.restarted()
+        resumable.clear()
+        counters.countRestart()
         active.forEach { it.stop.complete(StopReason.Crashed) }
     }
 
     private suspend fun generate(
-        work: EngineWork,
+        request: EngineRequest,
         emit: suspend (String) -> Unit,
     ): StopReason {
-        counters.held(received.get(), slots.running)
+        counters.updatePeaks(inProgress.get(), slots.running)
         recordLoad()
-        val answer = work.answer
+        val answer = request.answer
         if (answer.produced == 0) prefill(answer)
-        val pace = TokenPacer(timing)
-        for (index in work.from until answer.tokens.size) {
+        val pacer = TokenPacer(timing)
+        for (index in request.from until answer.tokens.size) {
             val fault = faults.first { !it.stallsAt(answer.version, index) }
             if (fault.breaksAt(answer.version, index)) return StopReason.Broken
-            if (index >= answer.produced) pace.next(tokenMillis(answer.version))
+            if (index >= answer.produced) pacer.awaitNext(tokenMillis(answer.version))
             emit(answer.tokens[index])
             answer.produced = maxOf(answer.produced, index + 1)
-            work.remainingTokens.decrementAndGet()
+            request.remainingTokens.decrementAndGet()
             queuedTokens.decrementAndGet()
         }
         return StopReason.Completed
@@ -231,40 +231,40 @@
 
     private suspend fun prefill(answer: ResumableAnswer) {
         val tokens = answer.promptTokens - answer.cachedTokens
-        val millis = tokens * settings.prefillMillisPerKilotoken / TOKENS_PER_KILOTOKEN * cold.slowdown()
+        val millis = tokens * settings.prefillMillisPerKilotoken / TOKENS_PER_KILOTOKEN * coldStart.slowdown()
         if (millis >= 1) timing.delayMillis(millis.toLong())
     }
 
     private fun tokenMillis(version: ModelVersion): Double {
         val fault = faults.value
         val slowdown = if (fault.affects(version)) fault.tokenSlowdown else 1.0
-        return settings.tokenMillis * slowdown * cold.slowdown()
+        return settings.tokenMillis * slowdown * coldStart.slowdown()
     }
 
     private fun finish(
-        work: EngineWork,
+        request: EngineRequest,
         reason: StopReason,
     ) {
-        if (!active.remove(work)) return
-        received.decrementAndGet()
-        queuedTokens.addAndGet(-work.remainingTokens.getAndSet(0))
-        val version = work.answer.version.toString()
+        if (!active.remove(request)) return
+        inProgress.decrementAndGet()
+        queuedTokens.addAndGet(-request.remainingTokens.getAndSet(0))
+        val version = request.answer.version.toString()
         when (reason) {
             StopReason.Completed -> {
-                counters.step(work.requestId, version, ExecutionStep.Completed)
-                counters.tokens(
-                    work.answer.promptTokens,
-                    work.answer.tokens.size
+                counters.record(request.requestId, version, ExecutionStep.Completed)
+                counters.addTokens(
+                    request.answer.promptTokens,
+                    request.answer.tokens.size
                         .toLong(),
                 )
             }
-            StopReason.Cancelled -> counters.step(work.requestId, version, ExecutionStep.Cancelled)
-            StopReason.Crashed, StopReason.Broken -> counters.step(work.requestId, version, ExecutionStep.Failed)
+            StopReason.Cancelled -> counters.record(request.requestId, version, ExecutionStep.Cancelled)
+            StopReason.Crashed, StopReason.Broken -> counters.record(request.requestId, version, ExecutionStep.Failed)
         }
         recordLoad()
     }
 
-    private fun recordLoad(): Unit = load.record(currentLoad())
+    private fun recordLoad(): Unit = loadHistory.record(currentLoad())
 
     fun currentLoad(): LoadReport {
         val running = slots.running
@@ -274,7 +274,7 @@
             waiting = slots.waiting,
             queuedTokens = queuedTokens.get(),
             cacheUsed = cache.used,
-            bootId = cold.bootId,
+            bootId = coldStart.bootId,
         )
     }
 
@@ -283,7 +283,7 @@
     }
 }
 
-/** Keeps the answers that can be resumed; the oldest gives way. */
+/** Retains the most recent answers for resumption; evicts the oldest above [capacity]. */
 private class ResumableAnswers(
     private val capacity: Int,
 ) {
@@ -304,13 +304,16 @@
     fun clear(): Unit = synchronized(lock) { answers.clear() }
 }
 
-/** Spaces tokens evenly; makes up for waits that took too long, but not for a reader that held them up. */
+/**
+ * Spaces tokens evenly. Catches up on delays that overran, but not on a lag of more than [MAX_CATCH_UP_MILLIS], which
+ * is attributed to backpressure from a slow reader.
+ */
 private class TokenPacer(
     private val timing: Timing,
 ) {
     private var dueMillis = timing.nowMillis().toDouble()
 
-    suspend fun next(tokenMillis: Double) {
+    suspend fun awaitNext(tokenMillis: Double) {
         val nowMillis = timing.nowMillis()
         if (nowMillis - dueMillis > MAX_CATCH_UP_MILLIS) dueMillis = nowMillis.toDouble()
         dueMillis += tokenMillis
--- a/standins/src/main/kotlin/io/carawaytrack/standins/EngineSettings.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/EngineSettings.kt
@@ -1,5 +1,5 @@
 /*
- * How an engine stand-in behaves: settings that hold for its life, and faults that are switched while it runs.
+ * Behaviour of an engine stand-in: settings that are fixed at its start, and faults that can be replaced at run time.
  */
 package io.carawaytrack.standins
 
@@ -7,26 +7,26 @@
 import kotlinx.serialization.Serializable
 
 /**
- * Sets up an engine stand-in.
+ * Settings of an engine stand-in.
  *
- * @property versions models and versions loaded at the start; a request for a model alone runs on its first one
+ * @property versions models and versions loaded at the start; a request for a model alone runs on its first version
  * @property quality mean rating, 0 to 1, of the answers
  * @property qualities mean ratings that differ from [quality], by `model@version`
- * @property qualitySpread width of the band in which the rating varies from prompt to prompt
- * @property answerTokens length of an answer that no limit shortens
- * @property maxRunning requests that run at once; others wait
- * @property memoryTokens tokens of all held requests beyond which the engine falls over; 0 for no bound
- * @property coldStartMillis time from a start until the engine bears its full load
- * @property coldCapacity requests that it bears at the very start
- * @property coldSlowdown factor on its token times at the very start
- * @property restartMillis time that it answers nothing after falling over
+ * @property qualitySpread width of the band in which the quality varies by prompt
+ * @property answerTokens length of an answer without a token limit
+ * @property maxRunning batch slots: requests that run at once; further ones wait
+ * @property memoryTokens value of [LoadReport.queuedTokens] above which the engine crashes; 0 for no limit
+ * @property coldStartMillis time from a start until the engine has its full capacity
+ * @property coldCapacity requests that the engine can take at the beginning of a cold start
+ * @property coldSlowdown factor on prefill and token times at the beginning of a cold start
+ * @property restartMillis downtime after a crash
  * @property cacheBlocks capacity of the prefix cache, in blocks of [PREFIX_BLOCK_CHARS] characters
- * @property loadLagMillis age of what `GET /load` reports
- * @property eventLagMillis age at which a cache event is first shown
- * @property eventLossRatio share of cache events, 0 to 1, that are never shown
- * @property loadModelMillis time that an order to load takes
- * @property enforcesFencing whether an order with an older fencing number is refused
- * @property resumableAnswers finished or broken answers that can still be resumed
+ * @property loadLagMillis age of the load that `GET /load` reports
+ * @property eventLagMillis age from which a cache event is reported
+ * @property eventLossRatio share of cache events, 0 to 1, that are never reported
+ * @property loadModelMillis time that an order to load a model takes
+ * @property enforcesFencing whether an order with a lower fencing token than an earlier one is refused
+ * @property resumableAnswers number of most recent answers that are retained for resumption
  */
 public data class EngineSettings(
     val port: Int = 0,
@@ -55,18 +55,18 @@
 )
 
 /**
- * Lists the faults of an engine stand-in; `POST /faults` replaces all of them.
+ * Faults that an engine stand-in injects; `POST /faults` replaces all of them.
  *
- * @property versions `model@version` of those whose answers are harmed; empty for all
- * @property down answers 503 to everything
- * @property restartCold falls back into a cold start at once, without a word
+ * @property versions versions, as `model@version`, whose answers are affected; empty for all
+ * @property down answers requests with status 503
+ * @property restartCold restarts into a cold start immediately, with no downtime and no notice
  * @property crashText a request whose body contains this text ends the process
  * @property tokenSlowdown factor on the time of each token
- * @property stallAfterTokens answers stop after so many tokens, until the fault is cleared
- * @property breakAfterTokens the connection is closed after so many tokens
- * @property errorRatio share of requests, 0 to 1, that are answered 500
- * @property quality mean rating, 0 to 1, in place of the set one
- * @property loadLagMillis lag of the load report in place of the set one
+ * @property stallAfterTokens number of tokens after which an answer stalls until the fault is cleared
+ * @property breakAfterTokens number of tokens after which the connection is closed
+ * @property errorRatio share of requests, 0 to 1, that fail with status 500
+ * @property quality mean rating, 0 to 1, that overrides the setting
+ * @property loadLagMillis lag of the load report that overrides the setting
  */
 @Serializable
 public data class EngineFaults(
--- a/standins/src/main/kotlin/io/carawaytrack/standins/EngineStandIn.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/EngineStandIn.kt
@@ -1,6 +1,6 @@
 /*
- * A stand-in for a model engine: its HTTP face over what `Engine` decides. It speaks the published form of chat
- * completions and the orders, reports and faults that tests and the demo need.
+ * A stand-in for an inference engine: the HTTP server in front of `Engine`. It implements the public chat completions
+ * API and the orders, reports and faults that tests and the demo need.
  */
 package io.carawaytrack.standins
 
@@ -28,37 +28,36 @@
 import java.util.UUID
 import kotlin.concurrent.thread
 
-/** Header that identifies a request; counters and resumption go by it. */
+/** Header with the request id, by which executions are counted and answers are resumed. */
 public const val REQUEST_ID_HEADER: String = "X-Request-Id"
 
-/** Header with the token offset, counted from 0, from which a held answer is resumed. */
+/** Header with the token offset, counted from 0, from which a retained answer is resumed. */
 public const val RESUME_FROM_HEADER: String = "X-Resume-From"
 
-/** Header with the priority, `interactive` or `batch`, of a request that has to wait. */
+/** Header with the priority, `interactive` or `batch`, of a request in the wait queue. */
 public const val PRIORITY_HEADER: String = "X-Priority"
 
-/** Header of an answer that names the `model@version` that ran. */
+/** Header of an answer with the `model@version` that generated it. */
 public const val MODEL_VERSION_HEADER: String = "X-Model-Version"
 
-/** Runs in the process of its creator; closing it cuts every connection. */
+/** A stand-in that runs in the process of its creator; closing it closes every connection. */
 public interface EngineStandIn : AutoCloseable {
     /** Port on 127.0.0.1. */
     public val port: Int
 
-    /** Counts of what has run. */
+    /** Counters of the requests that were executed. */
     public val counters: CounterReport
 
     /** Current load, without lag. */
     public val load: LoadReport
 
-    /** What the engine serves and which orders brought it there. */
+    /** Models that the engine serves and the orders that it has applied. */
     public val state: EngineState
 
-    /** Replaces the faults. */
     public fun replaceFaults(faults: EngineFaults)
 }
 
-/** Starts an engine stand-in; [onCrash] is called in place of closing it when a request crashes it. */
+/** Starts an engine stand-in; if a request crashes it, [onCrash] is called instead of closing it. */
 public fun EngineStandIn(
     settings: EngineSettings = EngineSettings(),
     timing: Timing = Timing(),
@@ -99,11 +98,11 @@
     override fun close(): Unit = server.close()
 
     private fun Routing.routes() {
-        post("/v1/chat/completions") { call.chat() }
+        post("/v1/chat/completions") { call.chatCompletion() }
         get("/v1/models") { call.respondJson(modelList()) }
         get("/health") { call.health() }
         get("/load") { call.respondJson(engine.loadReport()) }
-        get("/events") { call.respondJsonLines(engine.cache.eventsAfter(call.after())) }
+        get("/events") { call.respondJsonLines(engine.cache.eventsAfter(call.afterSequence())) }
         get("/counters") { call.respondJson(counters) }
         get("/orders") { call.respondJson(state) }
         post("/orders") { call.order() }
@@ -112,7 +111,7 @@
         post("/faults") { call.faults() }
     }
 
-    private fun RoutingCall.after(): Long = request.queryParameters["after"]?.toLongOrNull() ?: 0
+    private fun RoutingCall.afterSequence(): Long = request.queryParameters["after"]?.toLongOrNull() ?: 0
 
     private fun modelList(): ModelList {
         val ids = state.versions.flatMap { listOf(it.model, it.toString()) }.distinct()
@@ -124,8 +123,8 @@
         val health =
             Health(
                 status = if (isDown) "down" else "ok",
-                bootId = engine.cold.bootId,
-                cold = engine.cold.isCold,
+                bootId = engine.coldStart.bootId,
+                cold = engine.coldStart.isCold,
                 versions = state.versions.map { it.toString() },
             )
         respondJson(health, if (isDown) HttpStatusCode.ServiceUnavailable else HttpStatusCode.OK)
@@ -134,9 +133,9 @@
     private suspend fun RoutingCall.order() {
         receiveJson<EngineOrder>().mapBoth(
             success = { order ->
-                val fault = engine.orders.validationError(order)
-                if (fault != null) return respondJson(ErrorReply(fault), HttpStatusCode.BadRequest)
-                val reply = engine.order(order)
+                val error = engine.orders.validationError(order)
+                if (error != null) return respondJson(ErrorReply(error), HttpStatusCode.BadRequest)
+                val reply = engine.apply(order)
                 respondJson(reply, if (reply.applied) HttpStatusCode.OK else HttpStatusCode.Conflict)
             },
             failure = { respondJson(ErrorReply(it), HttpStatusCode.BadRequest) },
@@ -160,7 +159,7 @@
         )
     }
 
-    private suspend fun RoutingCall.chat() {
+    private suspend fun RoutingCall.chatCompletion() {
         val body = receiveText()
         val crashText = engine.faults.value.crashText
         if (crashText != null && crashText in body) crash()
@@ -170,7 +169,7 @@
         )
     }
 
-    /** Ends the process, or this instance where no other way was given; never returns. */
+    /** Calls [onCrash], or closes this instance if there is none; never returns. */
     private suspend fun crash(): Nothing {
         thread(isDaemon = true, name = "stand-in-crash") { onCrash?.invoke() ?: close() }
         awaitCancellation()
@@ -187,7 +186,7 @@
                 engine.resume(requestId, resumeFrom, priority)
             }
         admitted.mapBoth(
-            success = { work(it, chat) },
+            success = { respondTo(it, chat) },
             failure = { respondRefusal(it) },
         )
     }
@@ -196,26 +195,26 @@
         Priority.entries.firstOrNull { it.name.equals(request.headers[PRIORITY_HEADER], ignoreCase = true) }
             ?: Priority.Interactive
 
-    private suspend fun RoutingCall.work(
-        work: EngineWork,
+    private suspend fun RoutingCall.respondTo(
+        engineRequest: EngineRequest,
         chat: ChatRequest,
     ): Unit = coroutineScope {
         val tokens = Channel<String>(OUTPUT_BUFFER_TOKENS)
-        val outcome = async { engine.run(work, tokens::send).also { tokens.close() } }
-        response.header(REQUEST_ID_HEADER, work.requestId)
-        response.header(MODEL_VERSION_HEADER, work.answer.version.toString())
+        val outcome = async { engine.run(engineRequest, tokens::send).also { tokens.close() } }
+        response.header(REQUEST_ID_HEADER, engineRequest.requestId)
+        response.header(MODEL_VERSION_HEADER, engineRequest.answer.version.toString())
         val first = tokens.receiveCatching().getOrNull()
         if (first == null) {
             respondStopped(outcome.await())
         } else if (chat.stream) {
-            stream(work, first, tokens, outcome, chat.wantsUsageChunk)
+            respondStream(engineRequest, first, tokens, outcome, chat.wantsUsageChunk)
         } else {
-            whole(work, first, tokens, outcome)
+            respondComplete(engineRequest, first, tokens, outcome)
         }
     }
 
-    private suspend fun RoutingCall.whole(
-        work: EngineWork,
+    private suspend fun RoutingCall.respondComplete(
+        engineRequest: EngineRequest,
         first: String,
         tokens: Channel<String>,
         outcome: Deferred<StopReason>,
@@ -225,41 +224,41 @@
         if (reason != StopReason.Completed) return respondStopped(reason)
         val completion =
             ChatCompletion(
-                id = work.requestId,
+                id = engineRequest.requestId,
                 kind = "chat.completion",
                 created = CREATED_EPOCH_SECONDS,
-                model = work.answer.version.toString(),
-                choices = listOf(CompletionChoice(0, AnswerMessage("assistant", text), work.finishReason())),
-                usage = work.usage(),
+                model = engineRequest.answer.version.toString(),
+                choices = listOf(CompletionChoice(0, AnswerMessage("assistant", text), engineRequest.finishReason())),
+                usage = engineRequest.usage(),
             )
         respondText(chatJson.encodeToString(completion), ContentType.Application.Json)
     }
 
-    private suspend fun RoutingCall.stream(
-        work: EngineWork,
+    private suspend fun RoutingCall.respondStream(
+        engineRequest: EngineRequest,
         first: String,
         tokens: Channel<String>,
         outcome: Deferred<StopReason>,
         wantsUsageChunk: Boolean,
     ): Unit = respondBytesWriter(ContentType.Text.EventStream) {
-        event(work.chunk(Delta(role = "assistant", content = "")))
-        event(work.chunk(Delta(content = first)))
-        for (token in tokens) event(work.chunk(Delta(content = token)))
+        writeEvent(engineRequest.chunk(Delta(role = "assistant", content = "")))
+        writeEvent(engineRequest.chunk(Delta(content = first)))
+        for (token in tokens) writeEvent(engineRequest.chunk(Delta(content = token)))
         val reason = outcome.await()
         if (reason != StopReason.Completed) abortConnection()
-        val usage = work.usage()
-        event(work.chunk(Delta(), work.finishReason(), usage.takeUnless { wantsUsageChunk }))
-        if (wantsUsageChunk) event(work.chunk(delta = null, usage = usage))
+        val usage = engineRequest.usage()
+        writeEvent(engineRequest.chunk(Delta(), engineRequest.finishReason(), usage.takeUnless { wantsUsageChunk }))
+        if (wantsUsageChunk) writeEvent(engineRequest.chunk(delta = null, usage = usage))
         writeStringUtf8("data: [DONE]\n\n")
         flush()
     }
 
-    private suspend fun ByteWriteChannel.event(chunk: ChatChunk) {
+    private suspend fun ByteWriteChannel.writeEvent(chunk: ChatChunk) {
         writeStringUtf8("data: ${chatJson.encodeToString(chunk)}\n\n")
         flush()
     }
 
-    private fun EngineWork.chunk(
+    private fun EngineRequest.chunk(
         delta: Delta?,
         finishReason: String? = null,
         usage: TokenUsage? = null,
@@ -272,9 +271,9 @@
         usage = usage,
     )
 
-    private fun EngineWork.finishReason(): String = if (answer.isShortened) "length" else "stop"
+    private fun EngineRequest.finishReason(): String = if (answer.isTruncated) "length" else "stop"
 
-    private fun EngineWork.usage(): TokenUsage {
+    private fun EngineRequest.usage(): TokenUsage {
         val answerTokens = answer.tokens.size.toLong()
         val promptTokens = answer.promptTokens
         return TokenUsage(promptTokens, answerTokens, promptTokens + answerTokens, PromptDetails(answer.cachedTokens))
--- a/standins/src/main/kotlin/io/carawaytrack/standins/LoadHistory.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/LoadHistory.kt
@@ -1,14 +1,14 @@
 /*
- * The load that an engine stand-in reports, which is what stood some time ago.
+ * The load report of an engine stand-in, and the history from which it is reported with a lag.
  */
 package io.carawaytrack.standins
 
 import kotlinx.serialization.Serializable
 
 /**
- * Answers `GET /load`.
+ * Reply to `GET /load`.
  *
- * @property queuedTokens prompt and answer tokens of the held requests still to be worked off
+ * @property queuedTokens prompt tokens and outstanding answer tokens of the running and waiting requests
  * @property cacheUsed share of the prefix cache in use, 0 to 1
  * @property bootId changes with every start of the engine
  */
@@ -32,7 +32,7 @@
         if (history.size > MAX_REPORTS) history.removeFirst()
     }
 
-    /** Returns the newest report made at [atMillis] or before, else the oldest one. */
+    /** Returns the newest report from [atMillis] or earlier, or the oldest report if all are later. */
     fun asOf(atMillis: Long): LoadReport? = synchronized(lock) {
         history.lastOrNull { it.atMillis <= atMillis } ?: history.firstOrNull()
     }
--- a/standins/src/main/kotlin/io/carawaytrack/standins/LoopbackServer.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/LoopbackServer.kt
@@ -1,5 +1,5 @@
 /*
- * The HTTP server that every stand-in runs on, and the JSON that they read and write. It listens on loopback only.
+ * The HTTP server and the JSON format that all stand-ins share. The server listens on loopback only.
  */
 package io.carawaytrack.standins
 
@@ -32,20 +32,20 @@
 import kotlinx.serialization.json.Json
 import org.slf4j.helpers.NOPLogger
 
-/** JSON of the stand-ins' own messages; every field is written. */
+/** JSON of the stand-ins' own messages, which includes fields with default values. */
 internal val standInJson: Json =
     Json {
         ignoreUnknownKeys = true
         encodeDefaults = true
     }
 
-/** Explains a refusal of a stand-in. */
+/** Body of a response that refuses a call to a stand-in. */
 @Serializable
 internal data class ErrorReply(
     val error: String,
 )
 
-/** Serves [routes] on 127.0.0.1; port 0 takes a free one. */
+/** Serves [routes] on 127.0.0.1; port 0 selects a free port. */
 internal class LoopbackServer(
     port: Int,
     routes: Routing.() -> Unit,
@@ -65,7 +65,7 @@
             routing(routes)
         }.start(wait = false)
 
-    /** Port that was bound. */
+    /** Port that the server is bound to. */
     val port: Int =
         runBlocking {
             server.engine
@@ -74,7 +74,7 @@
                 .port
         }
 
-    /** Cuts every open connection. */
+    /** Closes every open connection without a grace period. */
     override fun close() {
         server.stop(gracePeriodMillis = 0, timeoutMillis = 0)
     }
@@ -84,13 +84,13 @@
     }
 }
 
-/** Reads the body as JSON; fails with what is wrong with it. */
+/** Decodes the request body as JSON, or fails with a description of the error. */
 internal suspend inline fun <reified T> RoutingCall.receiveJson(): Result<T, String> = decodeJson(receiveText())
 
 internal inline fun <reified T> decodeJson(text: String): Result<T, String> =
     runCatching { standInJson.decodeFromString<T>(text) }.mapError { "expected a valid JSON body: ${it.message}" }
 
-/** Answers with [value] as JSON. */
+/** Responds with [value] as JSON. */
 internal suspend inline fun <reified T> RoutingCall.respondJson(
     value: T,
     status: HttpStatusCode = HttpStatusCode.OK,
@@ -98,29 +98,29 @@
     respondText(standInJson.encodeToString(value), ContentType.Application.Json, status)
 }
 
-/** Answers with [value] as one JSON document a line. */
+/** Responds with [values] as JSON lines. */
 internal suspend inline fun <reified T> RoutingCall.respondJsonLines(values: List<T>) {
     val lines = values.joinToString(separator = "") { standInJson.encodeToString(it) + "\n" }
     respondText(lines, ContentType("application", "x-ndjson"))
 }
 
 /**
- * Closes the caller's connection without another byte; never returns.
+ * Closes the caller's connection without sending another byte; never returns.
  *
- * Ktor has no call for it, and an exception in the middle of an answer may leave the connection open until it has been
- * idle for long. The connection is closed as soon as the coroutine that serves it is cancelled, so that one is looked
- * for among the parents by its name.
+ * Ktor has no API for this, and an exception in the middle of a response can leave the connection open until its idle
+ * timeout. Cancelling the coroutine that serves the connection closes it at once, so that coroutine is looked up by
+ * name among the ancestors of the current one.
  */
 @OptIn(ExperimentalCoroutinesApi::class)
 internal suspend fun abortConnection(): Nothing {
     val ancestors = generateSequence(currentCoroutineContext()[Job]) { it.parent }
-    val connection =
+    val connectionJob =
         ancestors.first {
             (it as? CoroutineScope)?.coroutineContext?.get(
                 CoroutineName,
             ) == CONNECTION_COROUTINE_NAME
         }
-    connection.cancel()
+    connectionJob.cancel()
     awaitCancellation()
 }
 
--- a/standins/src/main/kotlin/io/carawaytrack/standins/Orders.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/Orders.kt
@@ -1,25 +1,25 @@
 /*
- * Orders to an engine stand-in and the fencing number that keeps an old one from passing a new one, where the engine
- * honours it.
+ * Orders to an engine stand-in. The fencing token of an order prevents an outdated order from overriding a newer one,
+ * if the engine enforces it.
  */
 package io.carawaytrack.standins
 
 import io.carawaytrack.model.ModelVersion
 import kotlinx.serialization.Serializable
 
-/** Tells what an order asks for. */
+/** Type of change that an order requests. */
 @Serializable
 public enum class OrderAction { Load, Unload, LoadAdapter, UnloadAdapter, ChangeRole }
 
-/** Tells which part of the work an engine does. */
+/** Phases of inference that an engine runs. */
 @Serializable
 public enum class EngineRole { Both, Prefill, Decode }
 
 /**
- * Orders an engine to change what it serves.
+ * An order to an engine to change what it serves.
  *
- * @property fencingNumber an order is older than another when its number is lower
- * @property model set for the orders that load or unload, with [version]
+ * @property fencingNumber fencing token; an order with a lower one is outdated
+ * @property model required together with [version] by [OrderAction.Load] and [OrderAction.Unload]
  */
 @Serializable
 public data class EngineOrder(
@@ -31,7 +31,7 @@
     val role: EngineRole? = null,
 )
 
-/** Answers an order. */
+/** Reply to an order. */
 @Serializable
 public data class OrderReply(
     val applied: Boolean,
@@ -39,7 +39,7 @@
     val detail: String? = null,
 )
 
-/** Tells what an engine serves. */
+/** Models, adapters and role that an engine serves, and the orders that it has applied. */
 @Serializable
 public data class EngineState(
     val versions: List<ModelVersion>,
@@ -58,35 +58,40 @@
 
     val state: EngineState get() = synchronized(lock) { current }
 
-    /** Finds the version that a request's `model` field asks for, `model` or `model@version`. */
+    /** Returns the version that [model], as `model` or `model@version`, refers to, or null if it is not loaded. */
     fun resolve(model: String): ModelVersion? =
         state.versions.firstOrNull { it.toString() == model } ?: state.versions.firstOrNull { it.model == model }
 
-    /** Returns why [order] can not be applied whatever its number, or null. */
+    /** Returns the error that makes [order] invalid whatever its fencing token, or null if it is valid. */
     fun validationError(order: EngineOrder): String? = when (order.action) {
         OrderAction.Load, OrderAction.Unload ->
-            "model and version are required".takeIf { order.model == null || order.version == null }
+            "expected model and version for ${order.action}, got ${order.model} and ${order.version}"
+                .takeIf { order.model == null || order.version == null }
         OrderAction.LoadAdapter, OrderAction.UnloadAdapter ->
-            "adapter is required".takeIf { order.adapter == null }
-        OrderAction.ChangeRole -> "role is required".takeIf { order.role == null }
+            "expected an adapter for ${order.action}, got none".takeIf { order.adapter == null }
+        OrderAction.ChangeRole -> "expected a role for ${order.action}, got none".takeIf { order.role == null }
     }
 
-    /** Applies [order] unless its number is older than one that was seen and the engine honours numbers. */
+    /** Applies [order] unless the engine enforces fencing and the token is lower than the highest one so far. */
     fun apply(order: EngineOrder): OrderReply = synchronized(lock) {
         val highest = current.highestFencingNumber
         if (enforcesFencing && order.fencingNumber < highest) {
-            return OrderReply(false, highest, "fencing number ${order.fencingNumber} is older than $highest")
+            return OrderReply(
+                false,
+                highest,
+                "expected a fencing token of at least $highest, got ${order.fencingNumber}",
+            )
         }
-        val changed = current.changedBy(order)
+        val updated = current.updatedBy(order)
         current =
-            changed.copy(
+            updated.copy(
                 highestFencingNumber = maxOf(highest, order.fencingNumber),
-                applied = (changed.applied + order).takeLast(MAX_ORDERS),
+                applied = (updated.applied + order).takeLast(MAX_ORDERS),
             )
         OrderReply(true, current.highestFencingNumber)
     }
 
-    private fun EngineState.changedBy(order: EngineOrder): EngineState {
+    private fun EngineState.updatedBy(order: EngineOrder): EngineState {
         val version = ModelVersion(order.model.orEmpty(), order.version.orEmpty())
         val adapter = order.adapter.orEmpty()
         return when (order.action) {
--- a/standins/src/main/kotlin/io/carawaytrack/standins/PrefixCache.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/PrefixCache.kt
@@ -1,24 +1,24 @@
 /*
- * The prefix cache of an engine stand-in: blocks of prompt text under a chained hash, the least recently used of which
- * gives way. What it stores and removes is published as events, late and with gaps.
+ * The prefix cache of an engine stand-in: blocks of prompt text, identified by a chained hash, with eviction of the
+ * least recently used block. Changes are published as events, with the configured lag and loss.
  */
 package io.carawaytrack.standins
 
 import kotlinx.serialization.Serializable
 import kotlin.random.Random
 
-/** Characters of prompt that one block of the prefix cache covers. */
+/** Length of a block of the prefix cache, in characters of prompt. */
 public const val PREFIX_BLOCK_CHARS: Int = 64
 
-/** Tells what happened to a block. */
+/** Type of change to the prefix cache. */
 @Serializable
 public enum class CacheEventKind { Stored, Removed, Cleared }
 
 /**
- * Reports one change of the prefix cache.
+ * A change of the prefix cache.
  *
- * @property sequence rises by one with each change, so that a gap shows
- * @property block hash of the prefix that ends with this block; 0 when all were cleared
+ * @property sequence incremented with each change, so that lost events can be detected
+ * @property block hash of the prefix that ends with this block; 0 for [CacheEventKind.Cleared]
  */
 @Serializable
 public data class CacheEvent(
@@ -28,7 +28,7 @@
     val block: Long,
 )
 
-/** Returns the hash of every whole block of [prompt], each covering all text before its end. */
+/** Returns a hash for each complete block of [prompt], which covers the prompt up to the end of the block. */
 public fun prefixBlocks(prompt: String): List<Long> = prompt
     .chunked(PREFIX_BLOCK_CHARS)
     .filter { it.length == PREFIX_BLOCK_CHARS }
@@ -48,32 +48,32 @@
     /** Share of the capacity in use, 0 to 1. */
     val used: Double get() = synchronized(lock) { blocks.size.toDouble() / maxOf(1, settings.cacheBlocks) }
 
-    /** Returns how many tokens of [prompt] were cached, and caches all of it. */
-    fun take(prompt: String): Long = synchronized(lock) {
-        val wanted = prefixBlocks(prompt)
-        val cached = wanted.takeWhile { blocks.containsKey(it) }.size
-        wanted.forEach(::store)
+    /** Returns the number of tokens of [prompt] that were cached, and stores all of its complete blocks. */
+    fun lookUpAndStore(prompt: String): Long = synchronized(lock) {
+        val promptBlocks = prefixBlocks(prompt)
+        val cached = promptBlocks.takeWhile { blocks.containsKey(it) }.size
+        promptBlocks.forEach(::store)
         tokensOf(prompt.take(cached * PREFIX_BLOCK_CHARS))
     }
 
-    /** Forgets everything, as a restart does. */
+    /** Removes all blocks, as on a restart. */
     fun clear(): Unit = synchronized(lock) {
         blocks.clear()
         publish(CacheEventKind.Cleared, 0)
     }
 
-    /** Returns the events after [sequence] that are old enough to be shown. */
+    /** Returns the events after [sequence] that are older than the event lag. */
     fun eventsAfter(sequence: Long): List<CacheEvent> = synchronized(lock) {
-        val newestMillis = nowMillis() - settings.eventLagMillis
-        events.filter { it.sequence > sequence && it.atMillis <= newestMillis }
+        val latestMillis = nowMillis() - settings.eventLagMillis
+        events.filter { it.sequence > sequence && it.atMillis <= latestMillis }
     }
 
     private fun store(block: Long) {
         if (blocks.get(block) != null || settings.cacheBlocks == 0) return
         if (blocks.size >= settings.cacheBlocks) {
-            val oldest = blocks.keys.first()
-            blocks.remove(oldest)
-            publish(CacheEventKind.Removed, oldest)
+            val leastRecentlyUsed = blocks.keys.first()
+            blocks.remove(leastRecentlyUsed)
+            publish(CacheEventKind.Removed, leastRecentlyUsed)
         }
         blocks[block] = Unit
         publish(CacheEventKind.Stored, block)
--- a/standins/src/main/kotlin/io/carawaytrack/standins/RatingStandIn.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/RatingStandIn.kt
@@ -1,6 +1,6 @@
 /*
- * A stand-in for the service that rates answers. It reads the marker that the engine stand-in left in the answer and
- * blurs it by a seeded noise; ratings may come late or not at all.
+ * A stand-in for the rating service. It reads the quality marker that the engine stand-in put into the answer and adds
+ * seeded noise; ratings can be delayed or missing.
  */
 package io.carawaytrack.standins
 
@@ -15,11 +15,11 @@
 import kotlin.random.Random
 
 /**
- * Sets up a rating stand-in.
+ * Settings of a rating stand-in.
  *
  * @property noise standard deviation of the ratings
- * @property delayMillis time until a rating is given
- * @property missingRatio share of answers, 0 to 1, that are answered 404 in place of a rating
+ * @property delayMillis delay of each reply
+ * @property missingRatio share of answers, 0 to 1, that get status 404 instead of a rating
  * @property unmarkedRating rating of an answer without a marker
  */
 public data class RatingSettings(
@@ -31,7 +31,7 @@
     val seed: Long = 1,
 )
 
-/** Asks for the rating of an answer. */
+/** Request for the rating of an answer. */
 @Serializable
 public data class RatingRequest(
     val request: String,
@@ -40,25 +40,25 @@
     val answer: String,
 )
 
-/** Gives a rating from 0 to 1. */
+/** Reply with a rating from 0 to 1. */
 @Serializable
 public data class RatingReply(
     val rating: Double,
 )
 
-/** Answers `GET /counters` of a rating stand-in. */
+/** Reply to `GET /counters` of a rating stand-in. */
 @Serializable
 public data class RatingCounts(
     val rated: Long,
     val missing: Long,
 )
 
-/** Runs in the process of its creator; closing it cuts every connection. */
+/** A stand-in that runs in the process of its creator; closing it closes every connection. */
 public interface RatingStandIn : AutoCloseable {
     /** Port on 127.0.0.1. */
     public val port: Int
 
-    /** Counts of ratings that were given and withheld. */
+    /** Numbers of answers with a rating and with none. */
     public val counts: RatingCounts
 }
 
@@ -68,7 +68,7 @@
     timing: Timing = Timing(),
 ): RatingStandIn = HttpRatingStandIn(settings, timing)
 
-/** Returns the rating of [request], or null for one that is missing; the same request always gets the same one. */
+/** Returns the rating of [request], or null if it is missing; equal requests get equal ratings. */
 internal fun rate(
     settings: RatingSettings,
     request: RatingRequest,
@@ -79,11 +79,11 @@
     return (quality + random.nextGaussian() * settings.noise).coerceIn(0.0, 1.0)
 }
 
-private const val UNIFORMS_PER_GAUSSIAN = 12
+private const val UNIFORM_DRAWS_PER_GAUSSIAN = 12
 
-/** Draws from about the standard normal distribution, as a sum of uniform draws. */
+/** Draws from an approximately standard normal distribution, as a sum of uniform draws with a variance of 1/12 each. */
 private fun Random.nextGaussian(): Double =
-    (1..UNIFORMS_PER_GAUSSIAN).sumOf { nextDouble() } - UNIFORMS_PER_GAUSSIAN / 2.0
+    (1..UNIFORM_DRAWS_PER_GAUSSIAN).sumOf { nextDouble() } - UNIFORM_DRAWS_PER_GAUSSIAN / 2.0
 
 private class HttpRatingStandIn(
     private val settings: RatingSettings,
--- a/standins/src/main/kotlin/io/carawaytrack/standins/RunningSlots.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/RunningSlots.kt
@@ -1,5 +1,5 @@
 /*
- * The slots in which an engine stand-in runs its batch. Requests that find none wait by priority, then by arrival.
+ * The batch slots of an engine stand-in. Requests without a free slot wait in order of priority, then of arrival.
  */
 package io.carawaytrack.standins
 
@@ -14,18 +14,18 @@
         val priority: Priority,
         val arrival: Long,
     ) {
-        val turn = CompletableDeferred<Unit>()
+        val slotGrant = CompletableDeferred<Unit>()
     }
 
     private val lock = Any()
     private val waiters = PriorityQueue(compareBy<Waiter>({ it.priority }, { it.arrival }))
     private var arrivals = 0L
-    private var taken = 0
+    private var occupied = 0
 
-    val running: Int get() = synchronized(lock) { taken }
+    val running: Int get() = synchronized(lock) { occupied }
     val waiting: Int get() = synchronized(lock) { waiters.size }
 
-    /** Runs [block] in a slot, after waiting for one. */
+    /** Waits for a batch slot and runs [block] in it. */
     suspend fun <T> run(
         priority: Priority,
         block: suspend () -> T,
@@ -39,26 +39,27 @@
     }
 
     private suspend fun acquire(priority: Priority) {
-        val waiter = enter(priority) ?: return
-        var taken = false
+        val waiter = occupyOrEnqueue(priority) ?: return
+        var isGranted = false
         try {
-            waiter.turn.await()
-            taken = true
+            waiter.slotGrant.await()
+            isGranted = true
         } finally {
-            if (!taken) giveUp(waiter)
+            if (!isGranted) abandon(waiter)
         }
     }
 
-    private fun enter(priority: Priority): Waiter? = synchronized(lock) {
-        if (taken < maxRunning) {
-            taken += 1
+    /** Occupies a free slot and returns null, or returns a new entry of the wait queue if no slot is free. */
+    private fun occupyOrEnqueue(priority: Priority): Waiter? = synchronized(lock) {
+        if (occupied < maxRunning) {
+            occupied += 1
             return null
         }
         Waiter(priority, arrivals++).also(waiters::add)
     }
 
-    /** Leaves the queue, or passes on the slot that was handed over at the same moment. */
-    private fun giveUp(waiter: Waiter) {
+    /** Removes [waiter] from the wait queue, or releases its slot if one was granted concurrently. */
+    private fun abandon(waiter: Waiter) {
         val wasQueued = synchronized(lock) { waiters.remove(waiter) }
         if (!wasQueued) release()
     }
@@ -66,8 +67,8 @@
     private fun release() {
         val next =
             synchronized(lock) {
-                waiters.poll().also { if (it == null) taken -= 1 }
+                waiters.poll().also { if (it == null) occupied -= 1 }
             }
-        next?.turn?.complete(Unit)
+        next?.slotGrant?.complete(Unit)
     }
 }
--- a/standins/src/main/kotlin/io/carawaytrack/standins/ServiceStandIn.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/ServiceStandIn.kt
@@ -1,6 +1,6 @@
 /*
- * A stand-in for the plain services beside the engines: a stock ledger and payments. A reservation and a payment are
- * not idempotent, so each call that gets through counts.
+ * A stand-in for upstream services other than inference engines: a stock ledger and payments. Reservations and payments
+ * are not idempotent, so every call that is executed has an effect.
  */
 package io.carawaytrack.standins
 
@@ -18,9 +18,9 @@
 import java.util.concurrent.atomic.AtomicReference
 
 /**
- * Sets up a service stand-in.
+ * Settings of a service stand-in.
  *
- * @property stock pieces of every item at the start
+ * @property stock initial quantity of every item
  */
 public data class ServiceSettings(
     val port: Int = 0,
@@ -29,20 +29,20 @@
     val faults: ServiceFaults = ServiceFaults(),
 )
 
-/** Tells at which step a call of the service fails. */
+/** Point at which a call of the service fails. */
 @Serializable
 public enum class FailurePoint {
-    /** Answers 503 and does nothing. */
+    /** Responds with status 503 without running the operation. */
     BeforeRunning,
 
-    /** Does what was asked, then closes the connection without an answer. */
+    /** Runs the operation, then closes the connection without a response. */
     AfterRunning,
 }
 
 /**
- * Lists the faults of a service stand-in; `POST /faults` replaces all of them.
+ * Faults that a service stand-in injects; `POST /faults` replaces all of them.
  *
- * @property failures number of calls that fail before the fault clears itself; null for all of them
+ * @property failures number of calls that fail before [failurePoint] is cleared; null for no limit
  */
 @Serializable
 public data class ServiceFaults(
@@ -51,14 +51,14 @@
     val failures: Int? = null,
 )
 
-/** Reserves pieces of an item. */
+/** Request to reserve a quantity of an item. */
 @Serializable
 public data class ReservationRequest(
     val item: String,
     val quantity: Int,
 )
 
-/** Confirms a reservation. */
+/** A confirmed reservation, with the quantity [left] in stock. */
 @Serializable
 public data class Reservation(
     val reservation: Long,
@@ -67,21 +67,21 @@
     val left: Int,
 )
 
-/** Shows the stock of an item. */
+/** Quantity of an item that is in stock. */
 @Serializable
 public data class StockItem(
     val item: String,
     val left: Int,
 )
 
-/** Pays for an order. */
+/** Request to pay for an order. */
 @Serializable
 public data class PaymentRequest(
     val order: String,
     val amountCents: Long,
 )
 
-/** Confirms a payment. */
+/** A confirmed payment. */
 @Serializable
 public data class Payment(
     val payment: Long,
@@ -94,15 +94,14 @@
     val status: String,
 )
 
-/** Runs in the process of its creator; closing it cuts every connection. */
+/** A stand-in that runs in the process of its creator; closing it closes every connection. */
 public interface ServiceStandIn : AutoCloseable {
     /** Port on 127.0.0.1. */
     public val port: Int
 
-    /** Counts of what has run. */
+    /** Counters of the operations that were executed. */
     public val counters: CounterReport
 
-    /** Replaces the faults. */
     public fun replaceFaults(faults: ServiceFaults)
 }
 
@@ -119,8 +118,8 @@
     private val counts = Counters()
     private val faults = AtomicReference(settings.faults)
     private val lock = Any()
-    private val left = HashMap<String, Int>()
-    private var lastNumber = 0L
+    private val stockLeft = HashMap<String, Int>()
+    private var lastId = 0L
     private val server = LoopbackServer(settings.port) { routes() }
 
     override val port: Int get() = server.port
@@ -131,9 +130,9 @@
     override fun close(): Unit = server.close()
 
     private fun Routing.routes() {
-        post("/stock/reservations") { call.execute(RESERVE) { request: ReservationRequest -> reserve(request) } }
+        post("/stock/reservations") { call.execute(RESERVATION) { request: ReservationRequest -> reserve(request) } }
         get("/stock/items/{id}") { call.respondJson(item(call.parameters["id"].orEmpty())) }
-        post("/payments") { call.execute(PAY) { request: PaymentRequest -> pay(request) } }
+        post("/payments") { call.execute(PAYMENT) { request: PaymentRequest -> pay(request) } }
         get("/health") { call.respondJson(ServiceHealth("ok")) }
         get("/counters") { call.respondJson(counters) }
         get("/faults") { call.respondJson(faults.get()) }
@@ -160,29 +159,29 @@
         )
     }
 
-    /** Runs the operation between the faults that come before and after it. */
+    /** Runs the operation, with the fault that is injected before or after it. */
     private suspend fun RoutingCall.execute(
         operation: String,
         run: () -> String?,
     ) {
         val requestId = request.headers[REQUEST_ID_HEADER] ?: UUID.randomUUID().toString()
-        val failurePoint = nextFailure()
+        val failurePoint = takeFailurePoint()
         timing.delayMillis(settings.delayMillis + faults.get().delayMillis)
         if (failurePoint == FailurePoint.BeforeRunning) {
-            counts.refused()
+            counts.countRefused()
             return respondJson(ErrorReply("unavailable"), HttpStatusCode.ServiceUnavailable)
         }
-        counts.step(requestId, operation, ExecutionStep.Started)
+        counts.record(requestId, operation, ExecutionStep.Started)
         val reply = synchronized(lock) { run() }
-        counts.step(requestId, operation, if (reply == null) ExecutionStep.Failed else ExecutionStep.Completed)
+        counts.record(requestId, operation, if (reply == null) ExecutionStep.Failed else ExecutionStep.Completed)
         if (failurePoint == FailurePoint.AfterRunning) return abortConnection()
         response.header(REQUEST_ID_HEADER, requestId)
         if (reply == null) return respondJson(ErrorReply("out of stock"), HttpStatusCode.Conflict)
         respondText(reply, ContentType.Application.Json, HttpStatusCode.Created)
     }
 
-    /** Takes one failure off those that are still to come. */
-    private fun nextFailure(): FailurePoint? {
+    /** Returns the failure point of this call, if any, and decrements the number of failures that remain. */
+    private fun takeFailurePoint(): FailurePoint? {
         val before =
             faults.getAndUpdate {
                 val failures = it.failures ?: return@getAndUpdate it
@@ -191,23 +190,23 @@
         return before.failurePoint
     }
 
-    private fun item(id: String): StockItem = synchronized(lock) { StockItem(id, left[id] ?: settings.stock) }
+    private fun item(id: String): StockItem = synchronized(lock) { StockItem(id, stockLeft[id] ?: settings.stock) }
 
     private fun reserve(request: ReservationRequest): Reservation? {
-        val remaining = (left[request.item] ?: settings.stock) - request.quantity
+        val remaining = (stockLeft[request.item] ?: settings.stock) - request.quantity
         if (remaining < 0) return null
-        left[request.item] = remaining
-        lastNumber += 1
-        return Reservation(lastNumber, request.item, request.quantity, remaining)
+        stockLeft[request.item] = remaining
+        lastId += 1
+        return Reservation(lastId, request.item, request.quantity, remaining)
     }
 
     private fun pay(request: PaymentRequest): Payment {
-        lastNumber += 1
-        return Payment(lastNumber, request.order, request.amountCents)
+        lastId += 1
+        return Payment(lastId, request.order, request.amountCents)
     }
 
     private companion object {
-        const val RESERVE = "reservation"
-        const val PAY = "payment"
+        const val RESERVATION = "reservation"
+        const val PAYMENT = "payment"
     }
 }
--- a/standins/src/main/kotlin/io/carawaytrack/standins/Timing.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/Timing.kt
@@ -1,15 +1,15 @@
 /*
- * The time that a stand-in lives in: the clock it reads and the way it waits. Tests pass a clock that moves by itself.
+ * The time source of a stand-in: its clock and its delays. Tests pass a clock that each delay advances.
  */
 package io.carawaytrack.standins
 
 import kotlinx.coroutines.delay
 
 /**
- * Gives a stand-in its time.
+ * Time source of a stand-in.
  *
- * @property nowMillis reads the clock, in milliseconds
- * @property delayMillis suspends for a number of milliseconds
+ * @property nowMillis returns the time of the clock in milliseconds; only differences are meaningful
+ * @property delayMillis suspends for the given number of milliseconds
  */
 public class Timing(
     public val nowMillis: () -> Long = { System.nanoTime() / NANOS_PER_MILLI },
--- a/standins/src/main/kotlin/io/carawaytrack/standins/WeightStandIn.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/WeightStandIn.kt
@@ -1,6 +1,6 @@
 /*
- * A stand-in for the weight store: it serves bytes for any model and version, but only so many downloads in a window of
- * time.
+ * A stand-in for the weight store. It serves seeded random bytes for any model and version and limits the number of
+ * downloads within a sliding window.
  */
 package io.carawaytrack.standins
 
@@ -14,9 +14,9 @@
 import kotlin.random.Random
 
 /**
- * Sets up a weight store stand-in.
+ * Settings of a weight store stand-in.
  *
- * @property downloadsPerWindow downloads that are served within [windowMillis]; the others are answered 429
+ * @property downloadsPerWindow downloads that are served within [windowMillis]; further ones get status 429
  * @property weightBytes size of every download
  */
 public data class WeightSettings(
@@ -27,19 +27,19 @@
     val seed: Long = 1,
 )
 
-/** Answers `GET /counters` of a weight store stand-in. */
+/** Reply to `GET /counters` of a weight store stand-in. */
 @Serializable
 public data class WeightCounts(
     val served: Long = 0,
     val refused: Long = 0,
 )
 
-/** Runs in the process of its creator; closing it cuts every connection. */
+/** A stand-in that runs in the process of its creator; closing it closes every connection. */
 public interface WeightStandIn : AutoCloseable {
     /** Port on 127.0.0.1. */
     public val port: Int
 
-    /** Counts of downloads. */
+    /** Numbers of downloads that were served and refused. */
     public val counts: WeightCounts
 }
 
@@ -69,18 +69,23 @@
     }
 
     private suspend fun RoutingCall.download() {
-        val waitMillis = takeTurn()
+        val waitMillis = admitDownload()
         if (waitMillis > 0) {
             val waitSeconds = (waitMillis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND
             response.header("Retry-After", waitSeconds.toString())
-            return respondJson(ErrorReply("too many downloads"), HttpStatusCode.TooManyRequests)
+            return respondJson(
+                ErrorReply(
+                    "expected at most ${settings.downloadsPerWindow} downloads within ${settings.windowMillis} ms",
+                ),
+                HttpStatusCode.TooManyRequests,
+            )
         }
         val seed = seedOf(settings.seed, parameters["model"].orEmpty(), parameters["version"].orEmpty())
         respondBytes(Random(seed).nextBytes(settings.weightBytes))
     }
 
-    /** Returns 0 where the download may go on, else the time until the next one may. */
-    private fun takeTurn(): Long = synchronized(lock) {
+    /** Admits a download and returns 0, or returns the time in milliseconds until one can be admitted. */
+    private fun admitDownload(): Long = synchronized(lock) {
         val nowMillis = timing.nowMillis()
         while (servedAtMillis.isNotEmpty() && nowMillis - servedAtMillis.first() >= settings.windowMillis) {
             servedAtMillis.removeFirst()
