--- a/standins/src/test/kotlin/io/carawaytrack/standins/CommandLineTest.kt
+++ b/standins/src/test/kotlin/io/carawaytrack/standins/CommandLineTest.kt
@@ -1,5 +1,5 @@
 /*
- * The command line of the stand-ins: its reference page names every option, and wrong options stop it at once.
+ * The command line of the stand-ins: the reference page lists every option, and invalid arguments are rejected.
  */
 package io.carawaytrack.standins
 
@@ -18,7 +18,7 @@
     private val page = Path.of("..", "docs", "STAND-INS.md").readText()
 
     @TestFactory
-    fun `the reference page names every option of a stand-in`(): List<DynamicTest> =
+    fun `the reference page lists every option of a stand-in`(): List<DynamicTest> =
         standInCommandLine().subcommands.map { (name, command) ->
             dynamicTest(name) {
                 val section = page.substringAfter("\n## $name\n").substringBefore("\n## ")
@@ -27,7 +27,7 @@
             }
         }
 
-    private val wrong =
+    private val cases =
         listOf(
             listOf("engine", "--models", "quill") to "model@version",
             listOf("engine", "--max-running", "many") to "--max-running",
@@ -36,12 +36,12 @@
         )
 
     @TestFactory
-    fun `a wrong option ends with exit code 2 and is named`(): List<DynamicTest> = wrong.map { (arguments, named) ->
+    fun `invalid arguments are reported with exit code 2`(): List<DynamicTest> = cases.map { (arguments, text) ->
         dynamicTest(arguments.joinToString(separator = " ").ifEmpty { "no subcommand" }) {
             val errors = StringWriter()
             val exitCode = standInCommandLine().setErr(PrintWriter(errors)).execute(*arguments.toTypedArray())
             expectThat(exitCode).isEqualTo(2)
-            expectThat(errors.toString()).contains(named)
+            expectThat(errors.toString()).contains(text)
         }
     }
 }
--- a/standins/src/test/kotlin/io/carawaytrack/standins/EngineStandInTest.kt
+++ b/standins/src/test/kotlin/io/carawaytrack/standins/EngineStandInTest.kt
@@ -1,5 +1,5 @@
 /*
- * The engine stand-in as its callers meet it, over HTTP: the published form, what it refuses, and each fault.
+ * The HTTP interface of the engine stand-in: the chat completions API, refusals, and each fault.
  */
 package io.carawaytrack.standins
 
@@ -25,7 +25,7 @@
 import java.net.http.HttpResponse
 
 class EngineStandInTest {
-    private class Running(
+    private class RunningEngine(
         val standIn: EngineStandIn,
         val clock: AutoAdvancingClock,
     ) {
@@ -34,17 +34,17 @@
 
     private fun withEngine(
         settings: EngineSettings = EngineSettings(),
-        check: Running.() -> Unit,
+        check: RunningEngine.() -> Unit,
     ) {
         val clock = AutoAdvancingClock()
-        EngineStandIn(settings, clock.timing).use { Running(it, clock).check() }
+        EngineStandIn(settings, clock.timing).use { RunningEngine(it, clock).check() }
     }
 
     private data class AnswerCase(
         val name: String,
         val body: String,
         val status: Int,
-        val parts: List<String>,
+        val expectedTexts: List<String>,
     )
 
     private val answerCases =
@@ -63,34 +63,34 @@
             ),
             AnswerCase(
                 "a token limit shortens the answer",
-                chatBody(more = ""","max_tokens":2"""),
+                chatBody(extraFields = ""","max_tokens":2"""),
                 200,
                 listOf(""""finish_reason":"length"""", """"completion_tokens":2"""),
             ),
             AnswerCase(
-                "a stream carries usage on its last chunk",
+                "a stream has usage in its last chunk",
                 chatBody(stream = true),
                 200,
                 listOf("chat.completion.chunk", """"finish_reason":"stop"}],"usage":{""", "data: [DONE]\n\n"),
             ),
             AnswerCase(
-                "a stream carries usage on a chunk of its own where that is asked for",
-                chatBody(stream = true, more = ""","stream_options":{"include_usage":true}"""),
+                "a stream has usage in a separate chunk on request",
+                chatBody(stream = true, extraFields = ""","stream_options":{"include_usage":true}"""),
                 200,
                 listOf(""""choices":[],"usage":{""", "data: [DONE]\n\n"),
             ),
-            AnswerCase("an unknown model is not found", chatBody(model = "pen"), 404, listOf("model_not_found")),
-            AnswerCase("a body that is no JSON is refused", "{", 400, listOf("invalid_request")),
+            AnswerCase("an unknown model is refused", chatBody(model = "pen"), 404, listOf("model_not_found")),
+            AnswerCase("a body that is not JSON is refused", "{", 400, listOf("invalid_request")),
             AnswerCase("a body without messages is refused", """{"model":"quill"}""", 400, listOf("messages")),
         )
 
     @TestFactory
-    fun `answers take the published form`(): List<DynamicTest> = answerCases.map { case ->
+    fun `responses follow the chat completions API`(): List<DynamicTest> = answerCases.map { case ->
         dynamicTest(case.name) {
             withEngine(EngineSettings(versions = listOf(QUILL_1, QUILL_2), answerTokens = 4)) {
                 val response = calls.post(CHAT_PATH, case.body)
                 expectThat(response.statusCode()).isEqualTo(case.status)
-                case.parts.forEach { expectThat(response.body()).contains(it) }
+                case.expectedTexts.forEach { expectThat(response.body()).contains(it) }
             }
         }
     }
@@ -105,7 +105,7 @@
     private val faultCases =
         listOf(
             FaultCase("no fault", EngineFaults(), 200, ExecutionCounts(started = 1, completed = 1)),
-            FaultCase("an engine that is down starts nothing", EngineFaults(down = true), 503, ExecutionCounts()),
+            FaultCase("an engine that is down starts no request", EngineFaults(down = true), 503, ExecutionCounts()),
             FaultCase("errors", EngineFaults(errorRatio = 1.0), 500, ExecutionCounts(started = 1, failed = 1)),
             FaultCase(
                 "errors of another version",
@@ -116,7 +116,7 @@
         )
 
     @TestFactory
-    fun `faults change the answer and the counters`(): List<DynamicTest> = faultCases.map { case ->
+    fun `faults affect the response and the counters`(): List<DynamicTest> = faultCases.map { case ->
         dynamicTest(case.name) {
             withEngine {
                 standIn.replaceFaults(case.faults)
@@ -129,7 +129,7 @@
     }
 
     @Test
-    fun `a connection that breaks in the middle leaves an answer without an end`() = withEngine {
+    fun `a connection that breaks during a stream truncates the answer`() = withEngine {
         standIn.replaceFaults(EngineFaults(stallAfterTokens = 2))
         val reader = calls.open(CHAT_PATH, chatBody(stream = true)).body().bufferedReader()
         expectThat(generateSequence { reader.readLine() }.first { "[q=" in it }).contains(""""content"""")
@@ -138,31 +138,30 @@
     }
 
     @Test
-    fun `a broken answer is resumed from the token after the last one that came`() =
-        withEngine(EngineSettings(answerTokens = 6)) {
-            val whole = calls.post(CHAT_PATH, chatBody(stream = true), REQUEST_ID_HEADER to "whole").body().contents()
-            standIn.replaceFaults(EngineFaults(breakAfterTokens = 3))
-            expectCatching { calls.post(CHAT_PATH, chatBody(stream = true), REQUEST_ID_HEADER to "r1") }.isFailure()
-            standIn.replaceFaults(EngineFaults())
-            val rest =
-                calls.post(
-                    CHAT_PATH,
-                    chatBody(stream = true),
-                    REQUEST_ID_HEADER to "r1",
-                    RESUME_FROM_HEADER to "3",
-                )
-            expectThat(rest.body().contents()).isEqualTo(whole.drop(3))
-            expectThat(
-                standIn.counters.requests
-                    .getValue("r1")
-                    .counts,
-            ).isEqualTo(ExecutionCounts(started = 1, failed = 1, resumed = 1, completed = 1))
-            val unknown = calls.chat(headers = arrayOf(REQUEST_ID_HEADER to "r2", RESUME_FROM_HEADER to "1"))
-            expectThat(unknown.statusCode()).isEqualTo(404)
-        }
+    fun `a broken answer is resumed after its last token`() = withEngine(EngineSettings(answerTokens = 6)) {
+        val complete = calls.post(CHAT_PATH, chatBody(stream = true), REQUEST_ID_HEADER to "whole").body().contents()
+        standIn.replaceFaults(EngineFaults(breakAfterTokens = 3))
+        expectCatching { calls.post(CHAT_PATH, chatBody(stream = true), REQUEST_ID_HEADER to "r1") }.isFailure()
+        standIn.replaceFaults(EngineFaults())
+        val resumed =
+            calls.post(
+                CHAT_PATH,
+                chatBody(stream = true),
+                REQUEST_ID_HEADER to "r1",
+                RESUME_FROM_HEADER to "3",
+            )
+        expectThat(resumed.body().contents()).isEqualTo(complete.drop(3))
+        expectThat(
+            standIn.counters.requests
+                .getValue("r1")
+                .counts,
+        ).isEqualTo(ExecutionCounts(started = 1, failed = 1, resumed = 1, completed = 1))
+        val unknownRequest = calls.chat(headers = arrayOf(REQUEST_ID_HEADER to "r2", RESUME_FROM_HEADER to "1"))
+        expectThat(unknownRequest.statusCode()).isEqualTo(404)
+    }
 
     @Test
-    fun `a stalled answer goes on once the fault is cleared`() = withEngine {
+    fun `a stalled answer continues after the fault is cleared`() = withEngine {
         standIn.replaceFaults(EngineFaults(stallAfterTokens = 1))
         val response = calls.open(CHAT_PATH, chatBody(stream = true))
         val reader = response.body().bufferedReader()
@@ -184,7 +183,7 @@
     }
 
     @Test
-    fun `a caller that goes away frees its slot`() =
+    fun `a caller that disconnects frees its batch slot`() =
         withEngine(EngineSettings(versions = listOf(QUILL_1, QUILL_2), maxRunning = 1)) {
             standIn.replaceFaults(EngineFaults(stallAfterTokens = 1, versions = listOf("quill@1")))
             val open = calls.open(CHAT_PATH, chatBody(stream = true), REQUEST_ID_HEADER to "gone")
@@ -200,7 +199,7 @@
         }
 
     @Test
-    fun `an engine falls over when the requests it holds outgrow its memory`() =
+    fun `an engine crashes when its queued tokens exceed its memory`() =
         withEngine(EngineSettings(memoryTokens = 100, answerTokens = 60, restartMillis = 500)) {
             standIn.replaceFaults(EngineFaults(stallAfterTokens = 1))
             calls.open(CHAT_PATH, chatBody(stream = true)).body().read()
@@ -210,7 +209,7 @@
         }
 
     @Test
-    fun `given more than it bears an engine in a cold start falls over and starts again`() =
+    fun `an engine above its cold start capacity crashes and restarts`() =
         withEngine(EngineSettings(coldStartMillis = 60_000, coldCapacity = 1, restartMillis = 1_000)) {
             standIn.replaceFaults(EngineFaults(stallAfterTokens = 1))
             val first = calls.open(CHAT_PATH, chatBody(stream = true))
@@ -226,21 +225,21 @@
         }
 
     @Test
-    fun `the same prompt again costs less time before its first token`() =
+    fun `a repeated prompt has a shorter time to first token`() =
         withEngine(EngineSettings(tokenMillis = 0.0, prefillMillisPerKilotoken = 1_000.0)) {
             val prompt = "a long prompt ".repeat(100)
-            val taken =
+            val responseMillis =
                 List(2) {
-                    val before = clock.nowMillis.get()
+                    val startMillis = clock.nowMillis.get()
                     calls.chat(prompt)
-                    clock.nowMillis.get() - before
+                    clock.nowMillis.get() - startMillis
                 }
-            expectThat(taken[0]).isGreaterThan(300)
-            expectThat(taken[1]).isLessThan(50)
+            expectThat(responseMillis[0]).isGreaterThan(300)
+            expectThat(responseMillis[1]).isLessThan(50)
         }
 
     @Test
-    fun `a request with the marked text ends the engine and no other does`() {
+    fun `only a request with the crash text crashes the engine`() {
         val engine =
             EngineStandIn(EngineSettings(faults = EngineFaults(crashText = "boom")), AutoAdvancingClock().timing)
         val calls = StandInClient(engine.port)
@@ -252,28 +251,28 @@
     private data class OrderCase(
         val name: String,
         val enforcesFencing: Boolean,
-        val numbers: List<Long>,
-        val applied: List<Long>,
+        val fencingTokens: List<Long>,
+        val appliedTokens: List<Long>,
     )
 
     private val orderCases =
         listOf(
-            OrderCase("an older order is refused", true, listOf(2, 1, 3), listOf(2, 3)),
-            OrderCase("an equal order is applied again", true, listOf(2, 2), listOf(2, 2)),
-            OrderCase("an engine that ignores numbers applies all", false, listOf(2, 1), listOf(2, 1)),
+            OrderCase("an order with a lower token is refused", true, listOf(2, 1, 3), listOf(2, 3)),
+            OrderCase("an order with an equal token is applied", true, listOf(2, 2), listOf(2, 2)),
+            OrderCase("an engine that ignores fencing applies every order", false, listOf(2, 1), listOf(2, 1)),
         )
 
     @TestFactory
-    fun `orders go by their fencing numbers`(): List<DynamicTest> = orderCases.map { case ->
+    fun `orders are fenced by their tokens`(): List<DynamicTest> = orderCases.map { case ->
         dynamicTest(case.name) {
             withEngine(EngineSettings(enforcesFencing = case.enforcesFencing)) {
-                case.numbers.forEach {
+                case.fencingTokens.forEach {
                     calls.post(
                         "/orders",
                         """{"fencingNumber":$it,"action":"Load","model":"quill","version":"$it"}""",
                     )
                 }
-                expectThat(standIn.state.applied.map { it.fencingNumber }).isEqualTo(case.applied)
+                expectThat(standIn.state.applied.map { it.fencingNumber }).isEqualTo(case.appliedTokens)
             }
         }
     }
@@ -289,7 +288,7 @@
     }
 
     @Test
-    fun `load and cache events are shown late`() =
+    fun `load and cache events are reported with a lag`() =
         withEngine(EngineSettings(loadLagMillis = 10_000, eventLagMillis = 10_000, cacheBlocks = 1)) {
             calls.chat("x".repeat(2 * PREFIX_BLOCK_CHARS))
             expectThat(calls.get("/events").body()).isEqualTo("")
@@ -312,7 +311,7 @@
         }
 
     @Test
-    fun `a bad version rates low and the others do not`() =
+    fun `a quality fault lowers the ratings of the faulty version only`() =
         withEngine(EngineSettings(versions = listOf(QUILL_1, QUILL_2), quality = 0.9, qualitySpread = 0.0)) {
             standIn.replaceFaults(EngineFaults(quality = 0.1, versions = listOf("quill@2")))
             expectThat(calls.chat(model = "quill@1").rating()).isEqualTo(0.9)
@@ -320,7 +319,7 @@
         }
 
     @Test
-    fun `faults are switched over HTTP`() = withEngine {
+    fun `faults are replaced over HTTP`() = withEngine {
         expectThat(calls.post("/faults", """{"down":true}""").statusCode()).isEqualTo(200)
         expectThat(calls.chat().statusCode()).isEqualTo(503)
         expectThat(calls.post("/faults", """{}""").body().contains(""""down":true""")).isFalse()
--- a/standins/src/test/kotlin/io/carawaytrack/standins/PlatformStandInsTest.kt
+++ b/standins/src/test/kotlin/io/carawaytrack/standins/PlatformStandInsTest.kt
@@ -1,5 +1,5 @@
 /*
- * The stand-ins of the platform's rating service and weight store, over HTTP.
+ * The HTTP interfaces of the rating and weight store stand-ins.
  */
 package io.carawaytrack.standins
 
@@ -18,14 +18,20 @@
         val settings: RatingSettings,
         val answer: String,
         val status: Int,
-        val ratings: ClosedFloatingPointRange<Double>,
+        val ratingRange: ClosedFloatingPointRange<Double>,
     )
 
     private val ratingCases =
         listOf(
             RatingCase("the marker is read", RatingSettings(noise = 0.0), "[q=0.700] a letter", 200, 0.7..0.7),
-            RatingCase("noise blurs it a little", RatingSettings(noise = 0.05), "[q=0.700] a letter", 200, 0.4..1.0),
-            RatingCase("an answer without a marker rates low", RatingSettings(noise = 0.0), "a letter", 200, 0.0..0.0),
+            RatingCase("noise changes the rating", RatingSettings(noise = 0.05), "[q=0.700] a letter", 200, 0.4..1.0),
+            RatingCase(
+                "an answer without a marker gets the lowest rating",
+                RatingSettings(noise = 0.0),
+                "a letter",
+                200,
+                0.0..0.0,
+            ),
             RatingCase("a rating may be missing", RatingSettings(missingRatio = 1.0), "[q=0.700]", 404, 0.0..0.0),
         )
 
@@ -37,20 +43,20 @@
                 val response = StandInClient(standIn.port).post("/rate", body)
                 val rating = response.body().filter { it.isDigit() || it == '.' }.toDoubleOrNull() ?: 0.0
                 expectThat(response.statusCode()).isEqualTo(case.status)
-                expectThat(rating).isIn(case.ratings)
+                expectThat(rating).isIn(case.ratingRange)
             }
         }
     }
 
     @Test
-    fun `the same answer always gets the same rating`() {
+    fun `equal requests get equal ratings`() {
         val request = RatingRequest("r1", "quill", "1", "[q=0.700]")
         val ratings = List(3) { rate(RatingSettings(seed = 7), request) }
         expectThat(ratings.distinct().size).isEqualTo(1)
     }
 
     @Test
-    fun `downloads beyond the rate are refused until the window has passed`() {
+    fun `downloads above the limit are refused until the window has passed`() {
         val clock = AutoAdvancingClock()
         val settings = WeightSettings(downloadsPerWindow = 2, windowMillis = 1_500)
         WeightStandIn(settings, clock.timing).use { standIn ->
--- a/standins/src/test/kotlin/io/carawaytrack/standins/RunningSlotsTest.kt
+++ b/standins/src/test/kotlin/io/carawaytrack/standins/RunningSlotsTest.kt
@@ -1,5 +1,5 @@
 /*
- * The order in which waiting requests get a slot of the engine stand-in.
+ * The order in which waiting requests get a batch slot of the engine stand-in.
  */
 package io.carawaytrack.standins
 
@@ -18,40 +18,40 @@
 @OptIn(ExperimentalCoroutinesApi::class)
 class RunningSlotsTest {
     private val slots = RunningSlots(maxRunning = 1)
-    private val ran = mutableListOf<String>()
-    private val gate = CompletableDeferred<Unit>()
+    private val started = mutableListOf<String>()
+    private val completion = CompletableDeferred<Unit>()
 
-    private fun TestScope.enter(
+    private fun TestScope.launchRequest(
         name: String,
         priority: Priority,
     ) = launch {
         slots.run(priority) {
-            ran += name
-            gate.await()
+            started += name
+            completion.await()
         }
     }.also { runCurrent() }
 
     @Test
     fun `waiting requests run by priority and then by arrival`() = runTest {
-        enter("running", Priority.Batch)
-        enter("batch", Priority.Batch)
-        enter("interactive", Priority.Interactive)
-        enter("later interactive", Priority.Interactive)
+        launchRequest("running", Priority.Batch)
+        launchRequest("batch", Priority.Batch)
+        launchRequest("interactive", Priority.Interactive)
+        launchRequest("later interactive", Priority.Interactive)
         expectThat(slots.waiting).isEqualTo(3)
-        gate.complete(Unit)
+        completion.complete(Unit)
         runCurrent()
-        expectThat(ran).containsExactly("running", "interactive", "later interactive", "batch")
+        expectThat(started).containsExactly("running", "interactive", "later interactive", "batch")
         expectThat(slots.running).isEqualTo(0)
     }
 
     @Test
-    fun `a request that gives up while waiting takes no slot`() = runTest {
-        enter("running", Priority.Batch)
-        enter("gives up", Priority.Interactive).cancel()
-        enter("batch", Priority.Batch)
-        gate.complete(Unit)
+    fun `a request that is cancelled while waiting takes no slot`() = runTest {
+        launchRequest("running", Priority.Batch)
+        launchRequest("gives up", Priority.Interactive).cancel()
+        launchRequest("batch", Priority.Batch)
+        completion.complete(Unit)
         runCurrent()
-        expectThat(ran).containsExactly("running", "batch")
+        expectThat(started).containsExactly("running", "batch")
         expectThat(slots.running).isEqualTo(0)
     }
 }
--- a/standins/src/test/kotlin/io/carawaytrack/standins/ServiceStandInTest.kt
+++ b/standins/src/test/kotlin/io/carawaytrack/standins/ServiceStandInTest.kt
@@ -1,5 +1,5 @@
 /*
- * The service stand-in over HTTP: what runs, what only seems not to have run, and what the counters show of it.
+ * The HTTP interface of the service stand-in: operations, failures before and after they run, and the counters.
  */
 package io.carawaytrack.standins
 
@@ -23,38 +23,38 @@
 
     private fun StandInClient.reserve(
         quantity: Int,
-        request: String = "r1",
-    ) = post("/stock/reservations", """{"item":"spring","quantity":$quantity}""", REQUEST_ID_HEADER to request)
+        requestId: String = "r1",
+    ) = post("/stock/reservations", """{"item":"spring","quantity":$quantity}""", REQUEST_ID_HEADER to requestId)
 
     private data class Case(
         val name: String,
         val path: String,
         val body: String,
         val status: Int,
-        val part: String,
+        val expectedText: String,
     )
 
     private val cases =
         listOf(
             Case("a reservation", "/stock/reservations", """{"item":"spring","quantity":2}""", 201, """"left":3"""),
             Case(
-                "more than there is",
+                "a quantity above the stock",
                 "/stock/reservations",
                 """{"item":"spring","quantity":6}""",
                 409,
                 "out of stock",
             ),
             Case("a payment", "/payments", """{"order":"o1","amountCents":250}""", 201, """"payment":1"""),
-            Case("no JSON", "/payments", "{", 400, "JSON"),
+            Case("a body that is not JSON", "/payments", "{", 400, "JSON"),
         )
 
     @TestFactory
-    fun `calls are answered`(): List<DynamicTest> = cases.map { case ->
+    fun `calls get a response`(): List<DynamicTest> = cases.map { case ->
         dynamicTest(case.name) {
             withService { _, calls ->
                 val response = calls.post(case.path, case.body)
                 expectThat(response.statusCode()).isEqualTo(case.status)
-                expectThat(response.body()).contains(case.part)
+                expectThat(response.body()).contains(case.expectedText)
             }
         }
     }
@@ -71,7 +71,7 @@
     }
 
     @Test
-    fun `a call that fails before running changes nothing`() = withService { standIn, calls ->
+    fun `a call that fails before running has no effect`() = withService { standIn, calls ->
         standIn.replaceFaults(ServiceFaults(failurePoint = FailurePoint.BeforeRunning, failures = 1))
         expectThat(calls.reserve(1).statusCode()).isEqualTo(503)
         expectThat(standIn.counters.total.started).isEqualTo(0)
@@ -79,7 +79,7 @@
     }
 
     @Test
-    fun `a call that fails after running has run although no answer comes`() = withService { standIn, calls ->
+    fun `a call that fails after running has its effect without a response`() = withService { standIn, calls ->
         calls.post("/faults", """{"failurePoint":"AfterRunning"}""")
         expectCatching { calls.reserve(1) }.isFailure().isA<IOException>()
         expectThat(
--- a/standins/src/test/kotlin/io/carawaytrack/standins/StandInClient.kt
+++ b/standins/src/test/kotlin/io/carawaytrack/standins/StandInClient.kt
@@ -1,5 +1,5 @@
 /*
- * What the tests of the stand-ins share: a clock that moves by itself when something waits, and calls over HTTP.
+ * Shared fixtures of the stand-in tests: a clock that each delay advances, and an HTTP client.
  */
 package io.carawaytrack.standins
 
@@ -13,7 +13,7 @@
 import java.util.concurrent.CompletableFuture
 import java.util.concurrent.atomic.AtomicLong
 
-/** Jumps ahead by whatever anyone waits for. */
+/** A clock that each delay advances by its length, without waiting. */
 class AutoAdvancingClock {
     val nowMillis = AtomicLong()
     val timing = Timing({ nowMillis.get() }, { nowMillis.addAndGet(it) })
@@ -72,7 +72,7 @@
             prompt: String = "a letter",
             model: String = "quill",
             stream: Boolean = false,
-            more: String = "",
-        ) = """{"model":"$model","stream":$stream$more,"messages":[{"role":"user","content":"$prompt"}]}"""
+            extraFields: String = "",
+        ) = """{"model":"$model","stream":$stream$extraFields,"messages":[{"role":"user","content":"$prompt"}]}"""
     }
 }
