--- a/agent/src/test/kotlin/io/carawaytrack/agent/AgentTest.kt
+++ b/agent/src/test/kotlin/io/carawaytrack/agent/AgentTest.kt
@@ -4,7 +4,7 @@
  */
 package io.carawaytrack.agent
 
-import io.carawaytrack.fakes.sentOf
+import io.carawaytrack.fakes.awaitSentOf
 import io.carawaytrack.ledger.LedgerCommand
 import io.carawaytrack.model.Configuration
 import io.carawaytrack.model.ErrorKind
@@ -145,7 +145,7 @@
                     if (case.kind == null) {
                         expectThat(agent.runs).containsExactly(1L)
                     } else {
-                        expectThat(agent.link.sent()).isA<AttemptRefused>().get { failure }.and {
+                        expectThat(agent.link.awaitSent()).isA<AttemptRefused>().get { failure }.and {
                             get { kind }.isEqualTo(case.kind)
                             get { execution }.isEqualTo(Execution.NotRun)
                         }
@@ -211,7 +211,7 @@
             dynamicTest(case.name) {
                 withAgent(case.upstream) { agent ->
                     agent.link.deliver(openAttempt())
-                    expectThat(agent.link.sentOf<AnswerFailed>().failure).and {
+                    expectThat(agent.link.awaitSentOf<AnswerFailed>().failure).and {
                         get { kind }.isEqualTo(case.kind)
                         get { execution }.isEqualTo(case.execution)
                     }
@@ -228,7 +228,7 @@
             agent.link.deliver(openAttempt())
             runCurrent()
             agent.link.deliver(CancelAttempt(1))
-            expectThat(agent.link.sentOf<AnswerFailed>().failure)
+            expectThat(agent.link.awaitSentOf<AnswerFailed>().failure)
                 .isEqualTo(Failure(ErrorKind.CallerGone, Execution.MayHaveRun))
             runCurrent()
             expectThat(agent.entryService.load().running).isEqualTo(0)
@@ -243,7 +243,7 @@
             runCurrent()
             expectThat(agent.runs).isEmpty()
             expectThat(
-                agent.link.sentAlready(),
+                agent.link.sentOrNull(),
             ).isA<AttemptRefused>().get { failure.execution }.isEqualTo(Execution.NotRun)
             expectThat(agent.entryService.load().running).isEqualTo(0)
         }
@@ -255,7 +255,9 @@
             agent.link.deliver(openAttempt(attempt = 2))
             runCurrent()
             agent.link.deliver(CancelAttempt(2))
-            expectThat(agent.link.sent()).isA<AttemptRefused>().get { failure.execution }.isEqualTo(Execution.NotRun)
+            expectThat(
+                agent.link.awaitSent(),
+            ).isA<AttemptRefused>().get { failure.execution }.isEqualTo(Execution.NotRun)
             expectThat(agent.runs).containsExactly(1L)
         }
 
@@ -270,7 +272,7 @@
             release.complete(Unit)
             expectThat(
                 agent.link
-                    .sentOf<AttemptRefused>()
+                    .awaitSentOf<AttemptRefused>()
                     .failure.kind,
             ).isEqualTo(ErrorKind.StaleConfiguration)
             expectThat(agent.runs).containsExactly(1L)
@@ -338,7 +340,7 @@
         withAgent(completeAnswer) { agent ->
             agent.link.deliver(openAttempt(attempt = 1))
             agent.link.deliver(openAttempt(attempt = 2))
-            repeat(2) { agent.link.sentOf<AnswerEnd>() }
+            repeat(2) { agent.link.awaitSentOf<AnswerEnd>() }
             agent.link.deliver(AttemptSettled(1))
             advanceTimeBy(SETTLE_MILLIS)
             expectThat(agent.control.committed).isEmpty()
@@ -360,16 +362,16 @@
             agent.admissionCheck.shuttingDown = true
             val idle = launch { agent.entryService.awaitIdle() }
             agent.link.deliver(openAttempt(attempt = 2))
-            expectThat(agent.link.sent()).isA<AttemptRefused>().get { attempt }.isEqualTo(2)
+            expectThat(agent.link.awaitSent()).isA<AttemptRefused>().get { attempt }.isEqualTo(2)
             runCurrent()
             expectThat(idle.isActive).isTrue()
             release.complete(Unit)
             expectThat(
                 agent.link
-                    .sentOf<AnswerChunk>()
+                    .awaitSentOf<AnswerChunk>()
                     .bytes.size,
             ).isEqualTo(answerBody.size)
-            expectThat(agent.link.sentOf<AnswerEnd>().chunks).isEqualTo(1)
+            expectThat(agent.link.awaitSentOf<AnswerEnd>().chunks).isEqualTo(1)
             idle.join()
         }
     }
--- a/control/src/test/kotlin/io/carawaytrack/control/HolderTest.kt
+++ b/control/src/test/kotlin/io/carawaytrack/control/HolderTest.kt
@@ -159,11 +159,11 @@
         val link = FakeLink(testPeer("entry-1", NodeRole.Entry))
         val serving = launch { service.serve(link) }
         link.deliver(Heartbeat(1, 0))
-        expectThat(link.sent()).isA<NotLeading>().get { this.leader }.isEqualTo(leader)
+        expectThat(link.awaitSent()).isA<NotLeading>().get { this.leader }.isEqualTo(leader)
         expectThat(registry.statuses()).isEmpty()
         replica.leads = true
         link.deliver(Heartbeat(2, 0))
-        expectThat(link.sent()).isA<LeaseGrant>().and {
+        expectThat(link.awaitSent()).isA<LeaseGrant>().and {
             get { sequence }.isEqualTo(2)
             get { durationMillis }.isEqualTo(LEASE_MILLIS)
             get { membership }.isNotNull()
--- a/entry/src/test/kotlin/io/carawaytrack/entry/DispatchTest.kt
+++ b/entry/src/test/kotlin/io/carawaytrack/entry/DispatchTest.kt
@@ -150,7 +150,7 @@
         script: ArrayDeque<Script>,
     ) {
         while (true) {
-            val message = link.sent()
+            val message = link.awaitSent()
             if (message is CancelAttempt) onCancelAttempt(link, message)
             if (message !is OpenAttempt) continue
             val replies = script.removeFirst()(message)
--- a/fakes/src/main/kotlin/io/carawaytrack/fakes/FakeLink.kt
+++ b/fakes/src/main/kotlin/io/carawaytrack/fakes/FakeLink.kt
@@ -35,10 +35,10 @@
     }
 
     /** Waits for the next message from the side under test and returns it. */
-    public suspend fun sent(): Message = outbox.receive()
+    public suspend fun awaitSent(): Message = outbox.receive()
 
     /** Returns the next message already sent by the side under test, or null if there is none. */
-    public fun sentAlready(): Message? = outbox.tryReceive().getOrNull()
+    public fun sentOrNull(): Message? = outbox.tryReceive().getOrNull()
 
     override suspend fun send(message: Message): Boolean = offer(message)
 
@@ -54,9 +54,9 @@
 }
 
 /** Waits for the next message of type [T] from the side under test and returns it, dropping those before it. */
-public suspend inline fun <reified T : Message> FakeLink.sentOf(): T {
+public suspend inline fun <reified T : Message> FakeLink.awaitSentOf(): T {
     while (true) {
-        val message = sent()
+        val message = awaitSent()
         if (message is T) return message
     }
 }
--- a/membership/src/test/kotlin/io/carawaytrack/membership/ControlClientTest.kt
+++ b/membership/src/test/kotlin/io/carawaytrack/membership/ControlClientTest.kt
@@ -8,7 +8,7 @@
 import com.github.michaelbull.result.get
 import com.github.michaelbull.result.getError
 import io.carawaytrack.fakes.FakeLink
-import io.carawaytrack.fakes.sentOf
+import io.carawaytrack.fakes.awaitSentOf
 import io.carawaytrack.fakes.testPeer
 import io.carawaytrack.model.Configuration
 import io.carawaytrack.model.ErrorKind
@@ -83,7 +83,7 @@
         check(heartbeat.sequence > 0)
         runBlocking {
             val barrier = async { client.commit(ByteArray(0), COMMIT_TIMEOUT_MILLIS) }
-            deliver(LedgerReply(sentOf<LedgerCall>().call, reply = ByteArray(0)))
+            deliver(LedgerReply(awaitSentOf<LedgerCall>().call, reply = ByteArray(0)))
             barrier.await()
         }
     }
@@ -108,7 +108,7 @@
 
     @Test
     fun `a lease is counted from the moment at which its heartbeat was sent`() = withHosts { link ->
-        val heartbeat = link.sentOf<Heartbeat>()
+        val heartbeat = link.awaitSentOf<Heartbeat>()
         nowMillis.addAndGet(1_200)
         link.deliverAndWait(heartbeat, grant(heartbeat.sequence))
         expectThat(client.lease.remainingMillis()).isEqualTo(LEASE_MILLIS - 1_200)
@@ -118,7 +118,7 @@
 
     @Test
     fun `a grant that comes after its lease would have ended gives none`() = withHosts { link ->
-        val heartbeat = link.sentOf<Heartbeat>()
+        val heartbeat = link.awaitSentOf<Heartbeat>()
         nowMillis.addAndGet(LEASE_MILLIS)
         link.deliverAndWait(heartbeat, grant(heartbeat.sequence))
         expectThat(client.lease.held).isEqualTo(false)
@@ -150,10 +150,10 @@
     fun `grants count only for the heartbeat and the configuration they name`(): List<DynamicTest> = cases.map { case ->
         dynamicTest(case.name) {
             withHosts { link ->
-                val first = link.sentOf<Heartbeat>()
+                val first = link.awaitSentOf<Heartbeat>()
                 nowMillis.addAndGet(500)
                 client.hurry()
-                val second = link.sentOf<Heartbeat>()
+                val second = link.awaitSentOf<Heartbeat>()
                 nowMillis.addAndGet(100)
                 case.grants(first.sequence, second.sequence).forEach(link::deliver)
                 link.settle(second)
@@ -167,24 +167,24 @@
         listOf(7L, 8L).map { SuspectReport(NodeId("agent-1"), it, emptyList()) }.forEach { report ->
             suspects.set(report)
             client.hurry()
-            var heartbeat = link.sentOf<Heartbeat>()
-            while (heartbeat.suspects == null) heartbeat = link.sentOf<Heartbeat>()
+            var heartbeat = link.awaitSentOf<Heartbeat>()
+            while (heartbeat.suspects == null) heartbeat = link.awaitSentOf<Heartbeat>()
             expectThat(heartbeat.suspects).isEqualTo(report)
             client.hurry()
-            expectThat(link.sentOf<Heartbeat>().suspects).isNull()
+            expectThat(link.awaitSentOf<Heartbeat>().suspects).isNull()
         }
     }
 
     @Test
     fun `the configuration never goes back, whichever way it comes`() = withHosts { link ->
-        val heartbeat = link.sentOf<Heartbeat>()
+        val heartbeat = link.awaitSentOf<Heartbeat>()
         listOf(3L, 2L, 5L, 5L, 4L).forEach { link.deliver(ConfigurationPush(Configuration(number = it))) }
         link.deliverAndWait(heartbeat, grant(heartbeat.sequence, number = 4, carries = 4))
         expectThat(client.configuration.number).isEqualTo(5)
         expectThat(configurations.toList()).isEqualTo(listOf(3L, 5L))
         link.close()
         val (_, other) = dialled()
-        val next = other.sentOf<Heartbeat>()
+        val next = other.awaitSentOf<Heartbeat>()
         expectThat(next.configurationNumber).isEqualTo(5)
         other.deliver(ConfigurationPush(Configuration(number = 1)))
         other.deliverAndWait(next, grant(next.sequence, number = 1, carries = 1))
@@ -193,7 +193,7 @@
 
     @Test
     fun `a silent control host is left for another`() = withHosts { link ->
-        link.sentOf<Heartbeat>()
+        link.awaitSentOf<Heartbeat>()
         nowMillis.addAndGet(CONTROL_SILENCE_MILLIS + 1)
         client.hurry()
         link.closed.await()
@@ -211,14 +211,14 @@
         val command = "finish r1".encodeToByteArray()
         runBlocking {
             val committed = async { client.commit(command, COMMIT_TIMEOUT_MILLIS) }
-            expectThat(link.sentOf<LedgerCall>().command).isEqualTo(command)
+            expectThat(link.awaitSentOf<LedgerCall>().command).isEqualTo(command)
             link.close()
             val (_, other) = dialled()
-            val call = other.sentOf<LedgerCall>()
+            val call = other.awaitSentOf<LedgerCall>()
             expectThat(call.command).isEqualTo(command)
             other.deliver(LedgerReply(call.call + 100, reply = byteArrayOf(8)))
             other.deliver(LedgerReply(call.call, failure = ErrorKind.NotLeader.notRun()))
-            val again = other.sentOf<LedgerCall>()
+            val again = other.awaitSentOf<LedgerCall>()
             expectThat(again.command).isEqualTo(command)
             other.deliver(LedgerReply(again.call, reply = byteArrayOf(9)))
             expectThat(committed.await().get()).isNotNull().isEqualTo(byteArrayOf(9))
@@ -231,7 +231,7 @@
             val committed = async { client.commit(ByteArray(1), timeoutMillis = 1) }
             val failure = committed.await().getError()
             expectThat(failure?.kind).isEqualTo(ErrorKind.ControlUnavailable)
-            val sent = generateSequence { link.sentAlready() }.any { it is LedgerCall }
+            val sent = generateSequence { link.sentOrNull() }.any { it is LedgerCall }
             if (sent) expectThat(failure?.execution).isEqualTo(Execution.MayHaveRun)
         }
     }
