--- a/standins/src/main/kotlin/io/carawaytrack/standins/AnswerText.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/AnswerText.kt
@@ -21,7 +21,10 @@
 
 private const val HASH_MULTIPLIER = 1_000_003L
 
-/** Returns the quality of an answer, drawn by prompt from a band of width [spread] around [mean], within 0 to 1. */
+/**
+ * Returns the quality of an answer: [mean] plus an offset from a band of width [spread], limited to 0 to 1. The offset
+ * depends only on seed and prompt and emulates the difficulty of the prompt.
+ */
 internal fun qualityOf(
     seed: Long,
     prompt: String,
