--- a/replay/src/main/kotlin/io/carawaytrack/replay/Main.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Main.kt
@@ -70,11 +70,13 @@
 
     override fun call(): Int = trace().fold({ play(it) }, { refuse(it) })
 
-    private fun trace(): Result<Trace, TraceFault> {
+    private fun trace(): Result<Trace, TraceReadError> {
         val path = tracePath
         if (path != null) return readTrace(path)
         val lengthMillis = millis(seconds) ?: scenario.measuredMillis
-        return Ok(makeTrace(deployment, scenario, seed, lengthMillis, millis(warmUpSeconds) ?: scenario.warmUpMillis))
+        return Ok(
+            generateTrace(deployment, scenario, seed, lengthMillis, millis(warmUpSeconds) ?: scenario.warmUpMillis),
+        )
     }
 
     private fun millis(seconds: Long?): Long? = seconds?.let { it * MILLIS_PER_SECOND.toLong() }
@@ -87,13 +89,16 @@
         return 0
     }
 
-    private fun refuse(fault: TraceFault): Int {
+    private fun refuse(fault: TraceReadError): Int {
         System.err.println("trace line ${fault.line}: ${fault.detail}")
         return 1
     }
 }
 
 private class ScenarioConverter : ITypeConverter<Scenario> {
-    override fun convert(value: String): Scenario = Scenario.entries.firstOrNull { it.text == value.lowercase() }
-        ?: throw TypeConversionException("expected one of ${Scenario.entries.joinToString { it.text }}, got $value")
+    override fun convert(value: String): Scenario =
+        Scenario.entries.firstOrNull { it.commandLineName == value.lowercase() }
+            ?: throw TypeConversionException(
+                "expected one of ${Scenario.entries.joinToString { it.commandLineName }}, got $value",
+            )
 }
--- a/replay/src/main/kotlin/io/carawaytrack/replay/Report.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Report.kt
@@ -23,7 +23,7 @@
 internal fun Report.asText(): String = buildString {
     val origin = if (header.origin == TraceOrigin.Seed) "made from seed ${header.seed}" else "recorded"
     appendLine(
-        "${header.deployment.name.lowercase()}, ${header.scenario.text}, trace $origin, played with seed $seed",
+        "${header.deployment.name.lowercase()}, ${header.scenario.commandLineName}, trace $origin, played with seed $seed",
     )
     appendLine(TABLE_HEAD)
     measures.forEach { appendLine(row(it.policy, it)) }
--- a/replay/src/main/kotlin/io/carawaytrack/replay/Targets.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Targets.kt
@@ -36,7 +36,7 @@
 }
 
 private fun quietTrace(trace: Trace): Trace =
-    makeTrace(trace.header.deployment, Scenario.QuietHour, trace.header.seed ?: 1)
+    generateTrace(trace.header.deployment, Scenario.QuietHour, trace.header.seed ?: 1)
 
 internal fun checkTargets(inputs: TargetInputs): List<TargetCheck> = when (inputs.scenario) {
     Scenario.QuietHour, Scenario.Peak -> listOf(costCheck(inputs))
--- a/replay/src/main/kotlin/io/carawaytrack/replay/Trace.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Trace.kt
@@ -72,13 +72,13 @@
 )
 
 /** Says which line of a trace could not be read. */
-public data class TraceFault(
+public data class TraceReadError(
     val line: Int,
     val detail: String,
 )
 
 /** Reads the trace at [path]; fails with the first line that is no header or request. */
-public fun readTrace(path: Path): Result<Trace, TraceFault> {
+public fun readTrace(path: Path): Result<Trace, TraceReadError> {
     val lines = path.readLines().filter(String::isNotBlank)
     var line = 1
     return try {
@@ -91,10 +91,10 @@
         if (header.format == TRACE_FORMAT) {
             Ok(Trace(header, requests))
         } else {
-            Err(TraceFault(1, "expected format $TRACE_FORMAT, got ${header.format}"))
+            Err(TraceReadError(1, "expected format $TRACE_FORMAT, got ${header.format}"))
         }
     } catch (fault: SerializationException) {
-        Err(TraceFault(line, fault.message.orEmpty()))
+        Err(TraceReadError(line, fault.message.orEmpty()))
     }
 }
 
--- a/replay/src/main/kotlin/io/carawaytrack/replay/TraceMaker.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/TraceMaker.kt
@@ -12,7 +12,7 @@
  * Makes the trace of [scenario] on [deployment] from [seed]; nothing is measured for [warmUpMillis], and then for
  * [lengthMillis].
  */
-public fun makeTrace(
+public fun generateTrace(
     deployment: Deployment,
     scenario: Scenario,
     seed: Long,
@@ -44,7 +44,7 @@
     }
 
     private fun usual(): List<TraceRequest> =
-        arrivals(0.0, header.endMillis.toDouble(), spec.peakPerSecond * header.scenario.load).flatMap { atMillis ->
+        arrivals(0.0, header.endMillis.toDouble(), spec.peakPerSecond * header.scenario.loadRatio).flatMap { atMillis ->
             conversation(atMillis, drawTraffic(), drawOrganisation())
         }
 
--- a/replay/src/test/kotlin/io/carawaytrack/replay/ReplayTest.kt
+++ b/replay/src/test/kotlin/io/carawaytrack/replay/ReplayTest.kt
@@ -60,11 +60,11 @@
     }
 
     @Test
-    fun `makeTrace and writeTrace give the same trace for the same seed`(
+    fun `generateTrace and writeTrace give the same trace for the same seed`(
         @TempDir folder: Path,
     ) {
-        val trace = makeTrace(Deployment.Sajha, Scenario.Flood, seed = 5, lengthMillis = 200_000, warmUpMillis = 0)
-        expectThat(makeTrace(Deployment.Sajha, Scenario.Flood, 5, 200_000, 0)).isEqualTo(trace)
+        val trace = generateTrace(Deployment.Sajha, Scenario.Flood, seed = 5, lengthMillis = 200_000, warmUpMillis = 0)
+        expectThat(generateTrace(Deployment.Sajha, Scenario.Flood, 5, 200_000, 0)).isEqualTo(trace)
         writeTrace(trace, folder.resolve("t"))
         expectThat(readTrace(folder.resolve("t")).getOrElse { error(it.detail) }).isEqualTo(trace)
         expectThat(trace.requests.count { it.flood }).isGreaterThan(0)
