--- a/replay/src/main/kotlin/io/carawaytrack/replay/AgentModel.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/AgentModel.kt
@@ -1,6 +1,7 @@
 /*
- * A small stand-in for the agent beside an upstream: it admits up to its permits, lets them rise with each answer
- * that came at a warm engine's speed after a start, and reports its load.
+ * Simplified model of an upstream's agent: admits requests up to its number of permits and reports its load. After a
+ * restart or an engine failure it has one permit, and gains one for each answer that completes at a warm engine's
+ * speed.
  */
 package io.carawaytrack.replay
 
@@ -11,9 +12,9 @@
 import io.carawaytrack.model.ZoneName
 
 /**
- * Describes an upstream and its agent.
+ * Parameters of an upstream and its agent.
  *
- * @property permits requests that it runs at once when warm
+ * @property permits concurrent requests when warm
  */
 internal data class UpstreamSpec(
     val upstream: UpstreamId,
@@ -33,8 +34,8 @@
     private var running = 0
     private var queuedTokens = 0L
 
-    /** Requests that were turned away at this last gate. */
-    var refused: Int = 0
+    /** Requests rejected because no permit was free. */
+    var rejected: Int = 0
         private set
 
     fun load(): UpstreamLoad = UpstreamLoad(permits, running, queuedTokens)
@@ -49,14 +50,14 @@
         load = load(),
     )
 
-    /** Runs the request and returns true, or returns false when no permit is free; then nothing ran. */
+    /** Runs the request and returns true, or returns false without running it when no permit is free. */
     fun admit(
         request: TraceRequest,
         onFirstToken: () -> Unit,
         onEnd: (Boolean) -> Unit,
     ): Boolean {
         if (running >= permits) {
-            refused++
+            rejected++
             return false
         }
         running++
@@ -64,30 +65,30 @@
         val startedAtMillis = events.nowMillis
         val stream =
             EngineStream(request.promptTokens, request.answerTokens, onFirstToken) { complete ->
-                ended(request, startedAtMillis, complete, onEnd)
+                handleEnd(request, startedAtMillis, complete, onEnd)
             }
         engine.submit(stream)
         return true
     }
 
-    /** Starts the upstream anew; its running requests fail. */
+    /** Restarts the upstream; its running requests fail. */
     fun restart() {
         incarnation++
-        permits = STARTING_PERMITS
+        permits = INITIAL_PERMITS
         engine.restart()
     }
 
-    /** Tells whether the answer came at the speed that a warm engine keeps with all permits in use. */
-    private fun wasWarm(
+    /** Returns whether the answer completed at least at the speed of a warm engine with all permits in use. */
+    private fun answeredAtWarmSpeed(
         request: TraceRequest,
         startedAtMillis: Double,
     ): Boolean {
         val work = request.answerTokens + request.promptTokens * spec.engine.prefillWeight + 1
         val warmMillis = work * permits / engine.throughput(permits) * MILLIS_PER_SECOND
-        return events.nowMillis - startedAtMillis <= warmMillis * WARM_TOLERANCE
+        return events.nowMillis - startedAtMillis <= warmMillis * WARM_TOLERANCE_RATIO
     }
 
-    private fun ended(
+    private fun handleEnd(
         request: TraceRequest,
         startedAtMillis: Double,
         complete: Boolean,
@@ -95,13 +96,14 @@
     ) {
         if (!complete) {
             release(request)
-            permits = STARTING_PERMITS
+            permits = INITIAL_PERMITS
             onEnd(false)
             return
         }
-        if (permits < spec.permits && wasWarm(request, startedAtMillis)) permits++
-        val heldMillis = request.readMillis - request.answerTokens / spec.engine.tokensPerSecond * MILLIS_PER_SECOND
-        events.after(heldMillis) {
+        if (permits < spec.permits && answeredAtWarmSpeed(request, startedAtMillis)) permits++
+        val residualReadMillis =
+            request.readMillis - request.answerTokens / spec.engine.tokensPerSecond * MILLIS_PER_SECOND
+        events.after(residualReadMillis) {
             release(request)
             onEnd(true)
         }
@@ -113,7 +115,7 @@
     }
 
     private companion object {
-        const val STARTING_PERMITS = 1
-        const val WARM_TOLERANCE = 1.3
+        const val INITIAL_PERMITS = 1
+        const val WARM_TOLERANCE_RATIO = 1.3
     }
 }
--- a/replay/src/main/kotlin/io/carawaytrack/replay/ControlModel.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/ControlModel.kt
@@ -1,6 +1,6 @@
 /*
- * A small stand-in for the control hosts: it passes changes of the configuration and the agents' announcements on to
- * the entries, each after a delay of its own.
+ * Simplified model of the control hosts: propagates configuration changes and the agents' announcements to the entries,
+ * with an independently drawn delay for each entry.
  */
 package io.carawaytrack.replay
 
@@ -9,46 +9,47 @@
 import kotlin.random.Random
 
 internal class ControlModel(
-    private val world: World,
+    private val state: SimulationState,
     private val entries: List<EntryModel>,
     private val random: Random,
 ) {
-    private var announced = 0L
+    private var membershipNumber = 0L
 
-    var configuration: Configuration = world.spec.configuration
+    var configuration: Configuration = state.spec.configuration
         private set
 
     fun start(untilMillis: Double) {
-        val first = membership()
-        entries.forEach { it.chooser.update(first) }
-        world.events.every(ANNOUNCEMENT_MILLIS, untilMillis) { announce() }
+        val initialMembership = membership()
+        entries.forEach { it.chooser.update(initialMembership) }
+        state.events.every(ANNOUNCEMENT_INTERVAL_MILLIS, untilMillis) { publishMembership() }
     }
 
-    fun change(edit: (Configuration) -> Configuration) {
+    fun updateConfiguration(edit: (Configuration) -> Configuration) {
         configuration = edit(configuration).copy(number = configuration.number + 1)
-        val accepted = configuration
+        val updated = configuration
         entries.forEach { entry ->
-            world.events.after(delayMillis(CHANGE_DELAY_MILLIS)) {
-                if (accepted.number > entry.configuration.number) entry.configuration = accepted
+            state.events.after(delayMillis(CONFIGURATION_DELAY_MILLIS)) {
+                if (updated.number > entry.configuration.number) entry.configuration = updated
             }
         }
     }
 
-    private fun announce() {
+    private fun publishMembership() {
         val snapshot = membership()
         entries.forEach { entry ->
-            world.events.after(delayMillis(ANNOUNCEMENT_DELAY_MILLIS)) { entry.chooser.update(snapshot) }
+            state.events.after(delayMillis(ANNOUNCEMENT_DELAY_MILLIS)) { entry.chooser.update(snapshot) }
         }
     }
 
-    private fun membership() = Membership(++announced, complete = true, world.agents.values.map { it.announcement() })
+    private fun membership() =
+        Membership(++membershipNumber, complete = true, state.agents.values.map { it.announcement() })
 
     private fun delayMillis(range: ClosedFloatingPointRange<Double>) =
         random.nextDouble(range.start, range.endInclusive)
 
     private companion object {
-        const val ANNOUNCEMENT_MILLIS = 1_000.0
+        const val ANNOUNCEMENT_INTERVAL_MILLIS = 1_000.0
         val ANNOUNCEMENT_DELAY_MILLIS = 100.0..900.0
-        val CHANGE_DELAY_MILLIS = 50.0..1_500.0
+        val CONFIGURATION_DELAY_MILLIS = 50.0..1_500.0
     }
 }
--- a/replay/src/main/kotlin/io/carawaytrack/replay/Deployments.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Deployments.kt
@@ -1,5 +1,5 @@
 /*
- * The two deployments that replays play: their zones, upstreams, tables, and how well each version really answers.
+ * The two simulated deployments: their zones, upstreams, tables, and the true quality of each version.
  */
 package io.carawaytrack.replay
 
@@ -19,7 +19,7 @@
 import io.carawaytrack.model.ZoneName
 
 /**
- * Says how well a version answers: [best] less [slope] times the request's difficulty.
+ * True quality of a version's answers: [best] minus [slope] times the request's difficulty, limited to 0..1.
  */
 internal data class TrueQuality(
     val best: Double,
@@ -29,11 +29,11 @@
 }
 
 /**
- * Describes the requests of one route.
+ * Distribution of the requests of one route.
  *
- * @property share part of all requests
- * @property difficultyPower exponent of a uniform draw; higher makes hard requests rarer
- * @property sessionTurns requests in a session, 1 for none
+ * @property share fraction of all requests
+ * @property difficultyPower exponent applied to a uniform draw; a higher value makes difficult requests rarer
+ * @property sessionTurns requests per session; 1 for requests without a session
  */
 internal data class RouteTraffic(
     val route: Route,
@@ -45,12 +45,12 @@
 )
 
 /**
- * Describes a deployment.
+ * Parameters of a deployment.
  *
- * @property peakPerSecond requests a second at the peak
- * @property oneWayMillis delay between hosts
- * @property zoneToLose the zone whose loss takes most of the capacity
- * @property rolloutFrom version that roll-outs replace by [rolloutTo]
+ * @property peakRequestsPerSecond arrival rate at the peak
+ * @property oneWayDelayMillis network delay in one direction between hosts of different zones
+ * @property outageZone zone whose loss removes the most capacity
+ * @property rolloutFrom version that rollouts replace with [rolloutTo]
  */
 internal data class DeploymentSpec(
     val zones: List<ZoneName>,
@@ -59,13 +59,13 @@
     val organisations: List<Organisation>,
     val pools: List<Pool>,
     val quality: Map<ModelVersion, TrueQuality>,
-    val peakPerSecond: Double,
-    val oneWayMillis: Double,
-    val zoneToLose: ZoneName,
+    val peakRequestsPerSecond: Double,
+    val oneWayDelayMillis: Double,
+    val outageZone: ZoneName,
     val rolloutFrom: ModelVersion,
     val rolloutTo: ModelVersion,
 ) {
-    /** Configuration at the start: the new version stands in its pool, and its roll-out has not begun. */
+    /** Initial configuration: the new version is a member of its pool, and its rollout is paused at 0 %. */
     val configuration: Configuration
         get() =
             Configuration(
@@ -92,7 +92,7 @@
 private val ledgerService = ModelVersion("ledger", ModelVersion.SERVICE_VERSION)
 
 private val serviceEngine =
-    EngineSpec(tokensPerSecond = 1_000.0, slowdown = 0.02, coldMillis = 5_000.0, coldStreams = 16)
+    EngineSpec(tokensPerSecond = 1_000.0, slowdownPerStream = 0.02, coldMillis = 5_000.0, maxColdStreams = 16)
 
 private val pen = ModelVersion("pen", "3")
 private val quill = ModelVersion("quill", "7")
@@ -120,9 +120,9 @@
                 quillNext to TrueQuality(best = 0.98, slope = 0.12),
                 paymentService to TrueQuality(best = 1.0, slope = 0.0),
             ),
-        peakPerSecond = 9.0,
-        oneWayMillis = 1.0,
-        zoneToLose = zones[1],
+        peakRequestsPerSecond = 9.0,
+        oneWayDelayMillis = 1.0,
+        outageZone = zones[1],
         rolloutFrom = quill,
         rolloutTo = quillNext,
     )
@@ -192,9 +192,9 @@
                 max to TrueQuality(best = 0.97, slope = 0.12),
                 ledgerService to TrueQuality(best = 1.0, slope = 0.0),
             ),
-        peakPerSecond = 16.0,
-        oneWayMillis = 0.5,
-        zoneToLose = zones[0],
+        peakRequestsPerSecond = 16.0,
+        oneWayDelayMillis = 0.5,
+        outageZone = zones[0],
         rolloutFrom = mid,
         rolloutTo = midNext,
     )
@@ -246,7 +246,7 @@
     servicePool(stock, ledgerService),
 )
 
-/** Lists ten organisations, two of them large by their share of the requests. */
+/** Returns ten organisations, two of which are large by their share of the requests. */
 private fun organisations(): List<Organisation> =
     List(ORGANISATION_COUNT) { Organisation(OrganisationName(organisationName(it)), emptyList(), listOf("*@*")) }
 
@@ -288,11 +288,11 @@
 
 internal const val ORGANISATION_COUNT = 10
 
-/** Organisations, the first ones, that send half of the requests between them. */
-internal const val LARGE_COUNT = 2
+/** Number of large organisations: the first two, which together send half of the requests. */
+internal const val LARGE_ORGANISATIONS = 2
 
 internal fun organisationName(number: Int): String = "organisation-${number + 1}"
 
-internal fun isSmall(organisation: String): Boolean = (0 until LARGE_COUNT).none {
+internal fun isSmall(organisation: String): Boolean = (0 until LARGE_ORGANISATIONS).none {
     organisationName(it) == organisation
 }
--- a/replay/src/main/kotlin/io/carawaytrack/replay/EngineModel.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/EngineModel.kt
@@ -1,32 +1,33 @@
 /*
- * A small stand-in for a model engine with continuous batching: all running streams advance at the same speed, which
- * falls as streams join, while the sum of tokens still rises. After a start it is cold for a while: slow, and tipped
- * over by more streams than it can bear.
+ * Simplified model of a model engine with continuous batching: all running streams advance at the same speed, which
+ * decreases with the number of streams while the total throughput still increases. After a start the engine is cold for
+ * a limited time: it is slower, and it fails and restarts when it runs more streams than its cold limit.
  */
 package io.carawaytrack.replay
 
 import java.util.PriorityQueue
 
 /**
- * Describes an engine.
+ * Parameters of an engine.
  *
- * @property tokensPerSecond speed of a stream that runs alone
- * @property slowdown loss of speed with each further stream, as a share of the speed alone
- * @property prefillWeight work of a prompt token, as a share of an answer token's
+ * @property tokensPerSecond speed of a single stream
+ * @property slowdownPerStream increase of the time per token for each additional stream, as a fraction of a single
+ *   stream's
+ * @property prefillWeight cost of a prompt token, as a fraction of an answer token's
  * @property coldMillis time after a start during which the engine is cold
- * @property coldSpeed speed while cold, as a share of the usual one
- * @property coldStreams streams that a cold engine can bear
+ * @property coldSpeedRatio speed while cold, as a fraction of the warm speed
+ * @property maxColdStreams streams that a cold engine runs without failing
  */
 internal data class EngineSpec(
     val tokensPerSecond: Double,
-    val slowdown: Double = 0.05,
+    val slowdownPerStream: Double = 0.05,
     val prefillWeight: Double = 0.05,
     val coldMillis: Double = 30_000.0,
-    val coldSpeed: Double = 0.3,
-    val coldStreams: Int = 4,
+    val coldSpeedRatio: Double = 0.3,
+    val maxColdStreams: Int = 4,
 )
 
-/** Describes one stream; [onEnd] gets false when the engine failed while running it. */
+/** One stream; [onEnd] receives false when the engine restarted before the stream completed. */
 internal class EngineStream(
     val promptTokens: Long,
     val answerTokens: Long,
@@ -38,42 +39,44 @@
     private val spec: EngineSpec,
     private val events: EventQueue,
 ) {
-    private val milestones = PriorityQueue<Milestone>(compareBy<Milestone> { it.work }.thenBy { it.sequence })
+    private val milestones = PriorityQueue<Milestone>(compareBy<Milestone> { it.progress }.thenBy { it.sequence })
     private val streams = LinkedHashSet<EngineStream>()
-    private var work = 0.0
-    private var workAtMillis = 0.0
+
+    /** Tokens that a stream running since the creation of the engine would have advanced. */
+    private var progress = 0.0
+    private var progressAtMillis = 0.0
     private var generation = 0L
     private var sequence = 0L
     private var coldUntilMillis = 0.0
 
-    /** Tokens of work done since the replay began. */
-    var doneTokens: Double = 0.0
+    /** Tokens processed since the start of the simulation, prompt tokens weighted by [EngineSpec.prefillWeight]. */
+    var processedTokens: Double = 0.0
         private set
 
-    /** Times that more streams ran on the cold engine than it can bear. */
-    var tippedOver: Int = 0
+    /** Times that the cold engine exceeded [EngineSpec.maxColdStreams]. */
+    var coldOverloads: Int = 0
         private set
 
     val running: Int get() = streams.size
 
     val isCold: Boolean get() = events.nowMillis < coldUntilMillis
 
-    /** Tokens a second with [streams] of them running warm. */
+    /** Returns the tokens per second of a warm engine with [streams] running streams. */
     fun throughput(streams: Int): Double = streams * streamSpeed(streams)
 
     fun submit(stream: EngineStream) {
         advance()
         streams += stream
-        val firstAt = work + stream.promptTokens * spec.prefillWeight + 1
-        milestones += Milestone(firstAt, sequence++, stream, isEnd = false)
-        milestones += Milestone(firstAt + stream.answerTokens, sequence++, stream, isEnd = true)
-        if (isCold && streams.size > spec.coldStreams) tipOver() else schedule()
+        val firstTokenAt = progress + stream.promptTokens * spec.prefillWeight + 1
+        milestones += Milestone(firstTokenAt, sequence++, stream, isEnd = false)
+        milestones += Milestone(firstTokenAt + stream.answerTokens, sequence++, stream, isEnd = true)
+        if (isCold && streams.size > spec.maxColdStreams) restartFromOverload() else schedule()
     }
 
-    /** Starts the engine anew, cold; every running stream fails. */
+    /** Restarts the engine, which is then cold; every running stream fails. */
     fun restart() {
         advance()
-        val lost = streams.toList()
+        val failedStreams = streams.toList()
         streams.clear()
         milestones.clear()
         generation++
@@ -82,39 +85,39 @@
             advance()
             schedule()
         }
-        lost.forEach { it.onEnd(false) }
+        failedStreams.forEach { it.onEnd(false) }
     }
 
-    private fun tipOver() {
-        tippedOver++
+    private fun restartFromOverload() {
+        coldOverloads++
         restart()
     }
 
     private fun advance() {
-        val passed = events.nowMillis - workAtMillis
-        val step = passed / MILLIS_PER_SECOND * currentSpeed(atMillis = workAtMillis)
-        work += step
-        doneTokens += step * streams.size
-        workAtMillis = events.nowMillis
+        val elapsedMillis = events.nowMillis - progressAtMillis
+        val advancedTokens = elapsedMillis / MILLIS_PER_SECOND * currentSpeed(atMillis = progressAtMillis)
+        progress += advancedTokens
+        processedTokens += advancedTokens * streams.size
+        progressAtMillis = events.nowMillis
     }
 
     private fun currentSpeed(atMillis: Double): Double {
-        val warmth = if (atMillis < coldUntilMillis) spec.coldSpeed else 1.0
-        return if (streams.isEmpty()) 0.0 else streamSpeed(streams.size) * warmth
+        val speedFactor = if (atMillis < coldUntilMillis) spec.coldSpeedRatio else 1.0
+        return if (streams.isEmpty()) 0.0 else streamSpeed(streams.size) * speedFactor
     }
 
-    private fun streamSpeed(count: Int): Double = spec.tokensPerSecond / (1 + spec.slowdown * (count - 1))
+    private fun streamSpeed(count: Int): Double = spec.tokensPerSecond / (1 + spec.slowdownPerStream * (count - 1))
 
     private fun schedule() {
         val current = ++generation
         val next = milestones.peek() ?: return
-        val waitMillis = (next.work - work) / currentSpeed(events.nowMillis) * MILLIS_PER_SECOND
-        events.after(waitMillis) { if (current == generation) reach(next) }
+        val waitMillis = (next.progress - progress) / currentSpeed(events.nowMillis) * MILLIS_PER_SECOND
+        events.after(waitMillis) { if (current == generation) reachMilestone(next) }
     }
 
-    private fun reach(milestone: Milestone) {
+    private fun reachMilestone(milestone: Milestone) {
         advance()
-        work = maxOf(work, milestone.work)
+        progress = maxOf(progress, milestone.progress)
         milestones.remove(milestone)
         if (milestone.isEnd) streams -= milestone.stream
         schedule()
@@ -122,7 +125,7 @@
     }
 
     private class Milestone(
-        val work: Double,
+        val progress: Double,
         val sequence: Long,
         val stream: EngineStream,
         val isEnd: Boolean,
--- a/replay/src/main/kotlin/io/carawaytrack/replay/EntryModel.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/EntryModel.kt
@@ -1,6 +1,6 @@
 /*
- * A small stand-in for an entry: it asks the decision code, sends attempts to agents over delayed links, rates answers
- * of cascades, and queues for a while when a pool is full.
+ * Simplified model of an entry: plans and routes requests with the decision code, sends attempts to agents over links
+ * with delay, rates the answers of cascades, and queues requests for a limited time while a pool has no free capacity.
  */
 package io.carawaytrack.replay
 
@@ -24,33 +24,33 @@
     private val zone: ZoneName,
     private val planner: Planner,
     val chooser: UpstreamChooser,
-    private val world: World,
+    private val state: SimulationState,
     private val onObservation: (ModelVersion, Observation) -> Unit,
 ) {
-    private val events = world.events
-    private val queues = HashMap<ModelVersion, WaitingQueue>()
+    private val events = state.events
+    private val queues = HashMap<ModelVersion, WaitQueue>()
 
-    var configuration: Configuration = world.spec.configuration
+    var configuration: Configuration = state.spec.configuration
 
     fun submit(request: TraceRequest) {
-        val pinned = request.session?.let { world.sessions[it] }
-        planner.plan(configuration, planRequest(request, pinned, full = emptySet())).fold(
+        val pinned = request.session?.let { state.pinnedVersions[it] }
+        planner.plan(configuration, planRequest(request, pinned, fullVersions = emptySet())).fold(
             { begin(request, it, pinned) },
-            { refuse(request, it) },
+            { handlePlanFailure(request, it) },
         )
     }
 
     private fun planRequest(
         request: TraceRequest,
         pinned: ModelVersion?,
-        full: Set<ModelVersion>,
+        fullVersions: Set<ModelVersion>,
     ): PlanRequest = PlanRequest(
-        organisation = world.spec.organisations.first { it.name.value == request.organisation },
-        route = world.spec.routeNamed(request.route),
+        organisation = state.spec.organisations.first { it.name.value == request.organisation },
+        route = state.spec.routeNamed(request.route),
         pinned = pinned,
         estimatedTokens = request.tokens,
         singleVersion = request.session != null && pinned == null,
-        fullVersions = full,
+        fullVersions = fullVersions,
     )
 
     private fun begin(
@@ -59,26 +59,26 @@
         pinned: ModelVersion?,
     ) {
         if (pinned == null) pin(request, plan)
-        Flight(request, plan, isPinned = pinned != null).queue()
+        InFlightRequest(request, plan, isPinned = pinned != null).enqueue()
     }
 
     private fun pin(
         request: TraceRequest,
         plan: Plan,
     ) {
-        request.session?.let { world.sessions[it] = plan.steps.last().version }
+        request.session?.let { state.pinnedVersions[it] = plan.steps.last().version }
     }
 
-    /** Ends the request, or begins its session anew when the version that it was pinned to is withdrawn. */
-    private fun refuse(
+    /** Refuses the request, or restarts its session when the version that it was pinned to is withdrawn. */
+    private fun handlePlanFailure(
         request: TraceRequest,
         failure: Failure,
     ) {
         if (failure.kind == ErrorKind.SessionVersionWithdrawn && request.session != null) {
-            world.sessions.remove(request.session)
+            state.pinnedVersions.remove(request.session)
             submit(request)
         } else {
-            Flight(request, Plan(emptyList()), isPinned = true).end(Ending.Refused)
+            InFlightRequest(request, Plan(emptyList()), isPinned = true).end(OutcomeStatus.Refused)
         }
     }
 
@@ -91,50 +91,50 @@
         onObservation(version, observation)
     }
 
-    /** Sends what waits for [version], first come first served, until the pool is full; then looks again later. */
+    /** Sends the queued requests of [version] in order until the pool has no free capacity, then schedules a poll. */
     private fun drain(version: ModelVersion) {
         val queue = queues[version] ?: return
-        while (queue.flights.isNotEmpty() && sendFirst(queue)) Unit
-        pollLater(version, queue)
+        while (queue.requests.isNotEmpty() && sendNext(queue)) Unit
+        schedulePoll(version, queue)
     }
 
-    /** Sends the first that waits, or ends it when it has waited too long; returns whether either was possible. */
-    private fun sendFirst(queue: WaitingQueue): Boolean {
-        val next = queue.flights.removeFirst()
+    /** Sends or replans the first queued request, or refuses it if expired; returns false if it stays queued. */
+    private fun sendNext(queue: WaitQueue): Boolean {
+        val next = queue.requests.removeFirst()
         if (next.trySend() || next.replan()) return true
         if (next.hasExpired()) {
-            next.end(Ending.Refused)
+            next.end(OutcomeStatus.Refused)
             return true
         }
-        queue.flights.addFirst(next)
+        queue.requests.addFirst(next)
         return false
     }
 
-    private fun pollLater(
+    private fun schedulePoll(
         version: ModelVersion,
-        queue: WaitingQueue,
+        queue: WaitQueue,
     ) {
-        if (queue.flights.isEmpty() || queue.polling) return
-        queue.polling = true
-        events.after(POLL_MILLIS) {
-            queue.polling = false
+        if (queue.requests.isEmpty() || queue.pollScheduled) return
+        queue.pollScheduled = true
+        events.after(POLL_INTERVAL_MILLIS) {
+            queue.pollScheduled = false
             drain(version)
         }
     }
 
-    private inner class WaitingQueue {
-        val flights = ArrayDeque<Flight>()
-        var polling = false
+    private inner class WaitQueue {
+        val requests = ArrayDeque<InFlightRequest>()
+        var pollScheduled = false
     }
 
-    private inner class Flight(
+    private inner class InFlightRequest(
         private val request: TraceRequest,
         private var plan: Plan,
         private val isPinned: Boolean,
     ) {
         private var replanned = false
         private val startedAtMillis = events.nowMillis
-        private val ran = mutableListOf<ModelVersion>()
+        private val versionsRun = mutableListOf<ModelVersion>()
         private val excluded = HashSet<UpstreamId>()
         private var step = 0
         private var failures = 0
@@ -145,58 +145,58 @@
 
         private val version: ModelVersion get() = plan.steps[step].version
 
-        fun queue() {
+        fun enqueue() {
             queuedAtMillis = events.nowMillis
-            queues.getOrPut(version) { WaitingQueue() }.flights.addLast(this)
+            queues.getOrPut(version) { WaitQueue() }.requests.addLast(this)
             drain(version)
         }
 
-        /** Looks for a plan without the version that has no room, once, and queues for it; returns whether it did. */
+        /** Replans once without the version that has no free capacity and enqueues; returns whether it did. */
         fun replan(): Boolean {
-            val isFree = !isPinned && !replanned && step == 0
-            if (!isFree || events.nowMillis - queuedAtMillis < REPLAN_MILLIS) return false
+            val canReplan = !isPinned && !replanned && step == 0
+            if (!canReplan || events.nowMillis - queuedAtMillis < REPLAN_AFTER_MILLIS) return false
             replanned = true
-            val wanted = planRequest(request, pinned = null, full = setOf(version))
-            val other = planner.plan(configuration, wanted).fold({ it }, { plan })
-            if (other.steps.first().version == version) return false
-            plan = other
-            pin(request, other)
-            queue()
+            val revisedRequest = planRequest(request, pinned = null, fullVersions = setOf(version))
+            val alternative = planner.plan(configuration, revisedRequest).fold({ it }, { plan })
+            if (alternative.steps.first().version == version) return false
+            plan = alternative
+            pin(request, alternative)
+            enqueue()
             return true
         }
 
-        fun hasExpired(): Boolean = events.nowMillis - queuedAtMillis >= QUEUE_LIMIT_MILLIS
+        fun hasExpired(): Boolean = events.nowMillis - queuedAtMillis >= QUEUE_TIMEOUT_MILLIS
 
         fun trySend(): Boolean {
-            val wanted = ChoiceRequest(version, request.tokens, excluded = excluded)
-            return chooser.choose(configuration, wanted).fold({ send(it) }, { forgetRefusals(it) })
+            val choiceRequest = ChoiceRequest(version, request.tokens, excluded = excluded)
+            return chooser.choose(configuration, choiceRequest).fold({ send(it) }, { clearExclusions(it) })
         }
 
         fun end(
-            ending: Ending,
+            status: OutcomeStatus,
             quality: Double = 0.0,
         ) {
-            world.outcomes +=
+            state.outcomes +=
                 Outcome(
                     request = request,
-                    ending = ending,
+                    status = status,
                     latencyMillis = events.nowMillis - startedAtMillis,
                     firstTokenMillis = firstTokenAtMillis - startedAtMillis,
                     cost = cost,
                     quality = quality,
-                    versions = ran,
+                    versions = versionsRun,
                     exposed = exposed,
                 )
         }
 
-        private fun forgetRefusals(failure: Failure): Boolean {
+        private fun clearExclusions(failure: Failure): Boolean {
             if (failure.kind == ErrorKind.PoolExhausted) excluded.clear()
             return false
         }
 
         private fun send(target: Announcement): Boolean {
-            val agent = world.agents.getValue(target.upstream)
-            val delayMillis = world.delayMillis(zone, target.zone)
+            val agent = state.agents.getValue(target.upstream)
+            val delayMillis = state.delayMillis(zone, target.zone)
             chooser.started(target.upstream, request.tokens)
             events.after(delayMillis) {
                 val admitted =
@@ -204,15 +204,15 @@
                         request,
                         onFirstToken = { events.after(delayMillis) { firstTokenAtMillis = events.nowMillis } },
                         onEnd = { complete ->
-                            answer(agent, delayMillis, complete) { ended(target.upstream, complete) }
+                            deliverResponse(agent, delayMillis, complete) { handleEnd(target.upstream, complete) }
                         },
                     )
-                if (!admitted) answer(agent, delayMillis, healthy = true) { refused(target.upstream) }
+                if (!admitted) deliverResponse(agent, delayMillis, healthy = true) { handleRejection(target.upstream) }
             }
             return true
         }
 
-        private fun answer(
+        private fun deliverResponse(
             agent: AgentModel,
             delayMillis: Double,
             healthy: Boolean,
@@ -226,49 +226,49 @@
             }
         }
 
-        private fun refused(upstream: UpstreamId) {
+        private fun handleRejection(upstream: UpstreamId) {
             excluded += upstream
-            resume()
+            requeueFirst()
         }
 
-        private fun ended(
+        private fun handleEnd(
             upstream: UpstreamId,
             complete: Boolean,
         ) {
-            if (complete) completed() else failed(upstream)
+            if (complete) handleCompletion() else handleFailure(upstream)
             drain(version)
         }
 
-        private fun failed(upstream: UpstreamId) {
-            val route = world.spec.routeNamed(request.route)
-            if (route.repeatableMethods.isEmpty() || ++failures > REPEATS) return end(Ending.Failed)
+        private fun handleFailure(upstream: UpstreamId) {
+            val route = state.spec.routeNamed(request.route)
+            if (route.repeatableMethods.isEmpty() || ++failures > MAX_RETRIES) return end(OutcomeStatus.Failed)
             excluded += upstream
-            resume()
+            requeueFirst()
         }
 
-        /** Goes back to the head of the queue, since this request has waited before. */
-        private fun resume() {
-            queues.getValue(version).flights.addFirst(this)
+        /** Puts the request back at the head of the queue, because it has already waited its turn. */
+        private fun requeueFirst() {
+            queues.getValue(version).requests.addFirst(this)
             drain(version)
         }
 
-        private fun completed() {
-            ran += version
-            exposed = exposed || version in world.bad
-            cost += world.price(version, request.tokens)
+        private fun handleCompletion() {
+            versionsRun += version
+            exposed = exposed || version in state.degradedVersions
+            cost += state.price(version, request.tokens)
             val latencyMillis = (events.nowMillis - queuedAtMillis).toLong()
             observe(request, version, Observation.Completed(latencyMillis, request.tokens))
-            val accept = plan.steps[step].minAcceptedRating
-            if (accept != null && step < plan.steps.lastIndex) rateNow(accept) else finish()
+            val minRating = plan.steps[step].minAcceptedRating
+            if (minRating != null && step < plan.steps.lastIndex) rateOrEscalate(minRating) else finish()
         }
 
-        private fun rateNow(accept: Double) {
-            events.after(RATING_MILLIS) {
-                val rating = world.rating(request, version)
+        private fun rateOrEscalate(minRating: Double) {
+            events.after(RATING_DELAY_MILLIS) {
+                val rating = state.rating(request, version)
                 observe(request, version, Observation.Rated(rating, escalated = step > 0))
-                if (rating >= accept) {
+                if (rating >= minRating) {
                     firstTokenAtMillis = events.nowMillis
-                    end(Ending.Answered, world.trueQuality(request, version))
+                    end(OutcomeStatus.Answered, state.trueQuality(request, version))
                 } else {
                     escalate()
                 }
@@ -278,26 +278,27 @@
         private fun escalate() {
             step++
             excluded.clear()
-            queue()
+            enqueue()
         }
 
         private fun finish() {
-            end(Ending.Answered, world.trueQuality(request, version))
-            val rated = version
-            val rating = world.rating(request, rated)
+            end(OutcomeStatus.Answered, state.trueQuality(request, version))
+            val ratedVersion = version
+            val rating = state.rating(request, ratedVersion)
             val escalated = step > 0
-            val ratedAfterMillis = if (plan.steps[step].rateAnswer) RATING_MILLIS else world.lateRatingMillis(request)
-            ratedAfterMillis?.let { lateMillis ->
-                events.after(lateMillis) { observe(request, rated, Observation.Rated(rating, escalated)) }
+            val delayMillis =
+                if (plan.steps[step].rateAnswer) RATING_DELAY_MILLIS else state.deferredRatingMillis(request)
+            delayMillis?.let { ratingDelayMillis ->
+                events.after(ratingDelayMillis) { observe(request, ratedVersion, Observation.Rated(rating, escalated)) }
             }
         }
     }
 
     private companion object {
-        const val QUEUE_LIMIT_MILLIS = 10_000.0
-        const val POLL_MILLIS = 20.0
-        const val REPLAN_MILLIS = 500.0
-        const val RATING_MILLIS = 150.0
-        const val REPEATS = 2
+        const val QUEUE_TIMEOUT_MILLIS = 10_000.0
+        const val POLL_INTERVAL_MILLIS = 20.0
+        const val REPLAN_AFTER_MILLIS = 500.0
+        const val RATING_DELAY_MILLIS = 150.0
+        const val MAX_RETRIES = 2
     }
 }
--- a/replay/src/main/kotlin/io/carawaytrack/replay/EventQueue.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/EventQueue.kt
@@ -1,13 +1,13 @@
 /*
- * The virtual clock of a replay: actions in the order of their moments, those of one moment in the order of their
- * scheduling, so that a run depends on its seed alone.
+ * Event queue and virtual clock of a simulation. Events run in order of time, and events with the same time in the
+ * order in which they were scheduled, so that a run is determined by its trace, policy and seed.
  */
 package io.carawaytrack.replay
 
 import java.util.PriorityQueue
 
 internal class EventQueue {
-    private val waiting = PriorityQueue<Event>(compareBy<Event> { it.atMillis }.thenBy { it.sequence })
+    private val pending = PriorityQueue<Event>(compareBy<Event> { it.atMillis }.thenBy { it.sequence })
     private var sequence = 0L
 
     var nowMillis: Double = 0.0
@@ -17,7 +17,7 @@
         delayMillis: Double,
         action: () -> Unit,
     ) {
-        waiting += Event(nowMillis + delayMillis.coerceAtLeast(0.0), sequence++, action)
+        pending += Event(nowMillis + delayMillis.coerceAtLeast(0.0), sequence++, action)
     }
 
     fun at(
@@ -36,14 +36,14 @@
         }
     }
 
-    /** Runs everything that is due until [untilMillis]; returns whether nothing is left. */
+    /** Runs all events scheduled up to and including [untilMillis]; returns whether the queue is empty. */
     fun run(untilMillis: Double): Boolean {
-        while (waiting.isNotEmpty() && waiting.peek().atMillis <= untilMillis) {
-            val event = waiting.remove()
+        while (pending.isNotEmpty() && pending.peek().atMillis <= untilMillis) {
+            val event = pending.remove()
             nowMillis = event.atMillis
             event.action()
         }
-        return waiting.isEmpty()
+        return pending.isEmpty()
     }
 
     private class Event(
--- a/replay/src/main/kotlin/io/carawaytrack/replay/Main.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Main.kt
@@ -15,13 +15,13 @@
 import java.util.concurrent.Callable
 import kotlin.system.exitProcess
 
-/** Runs the command and ends the process with its exit code. */
-@Suppress("SpreadOperator") // picocli takes nothing but varargs; the copy is made once
+/** Runs the command and exits the process with its exit code. */
+@Suppress("SpreadOperator") // picocli accepts only varargs; the array is copied once
 public fun main(args: Array<String>) {
     exitProcess(replayCommandLine().execute(*args))
 }
 
-/** Creates the command line; it exits with 1 when a trace can't be read and with 2 on wrong options. */
+/** Creates the command line, whose exit code is 1 when a trace can't be read and 2 on invalid options. */
 public fun replayCommandLine(): CommandLine = CommandLine(ReplayCommand()).setCaseInsensitiveEnumValuesAllowed(true)
 
 internal enum class OutputFormat { Text, Json }
@@ -68,7 +68,7 @@
     @Option(names = ["--plot"], description = ["file for a plot, .svg or .png"])
     private var plotPath: Path? = null
 
-    override fun call(): Int = trace().fold({ play(it) }, { refuse(it) })
+    override fun call(): Int = trace().fold({ runSimulations(it) }, { reportReadError(it) })
 
     private fun trace(): Result<Trace, TraceReadError> {
         val path = tracePath
@@ -81,7 +81,7 @@
 
     private fun millis(seconds: Long?): Long? = seconds?.let { it * MILLIS_PER_SECOND.toLong() }
 
-    private fun play(trace: Trace): Int {
+    private fun runSimulations(trace: Trace): Int {
         writtenTracePath?.let { writeTrace(trace, it) }
         val replay = replay(trace, seed, policyNames)
         println(if (output == OutputFormat.Json) replay.report.asJson() else replay.report.asText())
@@ -89,8 +89,8 @@
         return 0
     }
 
-    private fun refuse(fault: TraceReadError): Int {
-        System.err.println("trace line ${fault.line}: ${fault.detail}")
+    private fun reportReadError(error: TraceReadError): Int {
+        System.err.println("trace line ${error.line}: ${error.detail}")
         return 1
     }
 }
--- a/replay/src/main/kotlin/io/carawaytrack/replay/Measures.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Measures.kt
@@ -1,5 +1,5 @@
 /*
- * What a run is measured by.
+ * Measures of a run, computed from the outcomes of its requests.
  */
 package io.carawaytrack.replay
 
@@ -7,7 +7,7 @@
 import kotlinx.serialization.Serializable
 import org.HdrHistogram.Histogram
 
-/** States two points of a distribution in milliseconds. */
+/** Median and 99th percentile of a distribution, in milliseconds. */
 @Serializable
 public data class Quantiles(
     val p50Millis: Long,
@@ -15,9 +15,9 @@
 )
 
 /**
- * Measures the requests of one route.
+ * Measures of the answered requests of one route.
  *
- * @property meanQuality mean true quality of the answers, which ratings only approach
+ * @property meanQuality mean true quality of the answers, of which ratings are only noisy estimates
  */
 @Serializable
 public data class RouteMeasures(
@@ -29,13 +29,16 @@
 )
 
 /**
- * Measures one run.
+ * Measures of one run.
  *
- * @property cost mean price of a model request
- * @property smallOrganisationsUnserved requests of small organisations that were refused or failed
- * @property fastReadersUnserved requests of callers who read at once that were refused or failed
- * @property exposed requests that ran on a version after it had turned bad
- * @property busyShare highest share of an upstream's best throughput that it was used for, over the whole run
+ * @property cost mean price of an answered model request
+ * @property smallOrganisationsUnserved model requests of small organisations that were refused or failed
+ * @property fastReadersUnserved model requests of callers that read at once that were refused or failed
+ * @property exposed requests that completed on a degraded version
+ * @property refusedAtGate requests that agents rejected because no permit was free
+ * @property tippedOver times that a cold engine exceeded its stream limit
+ * @property busyShare highest utilization of an upstream: processed tokens relative to its maximum throughput, over the
+ *   complete run
  */
 @Serializable
 public data class Measures(
@@ -56,7 +59,7 @@
     val busyShare: Double,
     val routes: List<RouteMeasures>,
 ) {
-    /** Tells whether the mean true quality of every route reaches its target. */
+    /** Whether the mean true quality of every route reaches its target. */
     val qualityMet: Boolean get() = routes.all { it.meanQuality >= it.targetQuality }
 }
 
@@ -65,12 +68,12 @@
     val models = spec.traffic.map { it.route }.filter { it.kind == ServiceKind.Model }
     val modelNames = models.map { it.name }.toSet()
     val outcomes = run.outcomes.filter { it.request.route in modelNames }
-    val answered = outcomes.filter { it.ending == Ending.Answered }
+    val answered = outcomes.filter { it.status == OutcomeStatus.Answered }
     return Measures(
         policy = run.policy,
         requests = run.outcomes.size,
-        refused = run.outcomes.count { it.ending == Ending.Refused },
-        failed = run.outcomes.count { it.ending == Ending.Failed },
+        refused = run.outcomes.count { it.status == OutcomeStatus.Refused },
+        failed = run.outcomes.count { it.status == OutcomeStatus.Failed },
         cost = answered.meanOf { it.cost },
         latency = quantiles(answered) { it.latencyMillis },
         firstToken = quantiles(answered) { it.firstTokenMillis },
@@ -79,18 +82,18 @@
         fastReadersUnserved = outcomes.unserved { it.readMillis == 0L },
         fastReaders = quantiles(answered.filter { it.request.readMillis == 0L }) { it.latencyMillis },
         exposed = run.outcomes.count { it.exposed },
-        refusedAtGate = run.refusedAtGate,
-        tippedOver = run.tippedOver,
-        busyShare = busyShare(run, spec),
+        refusedAtGate = run.rejectedByAgents,
+        tippedOver = run.coldOverloads,
+        busyShare = peakUtilization(run, spec),
         routes =
             models.map { route ->
-                val own = answered.filter { it.request.route == route.name }
+                val routeOutcomes = answered.filter { it.request.route == route.name }
                 RouteMeasures(
                     route.name,
-                    own.size,
+                    routeOutcomes.size,
                     route.qualityTarget,
-                    own.meanOf { it.quality },
-                    own.meanOf { it.cost },
+                    routeOutcomes.meanOf { it.quality },
+                    routeOutcomes.meanOf { it.cost },
                 )
             },
     )
@@ -102,22 +105,22 @@
 ): Quantiles {
     val histogram = Histogram(SIGNIFICANT_DIGITS)
     outcomes.forEach { histogram.recordValue(millis(it).toLong().coerceAtLeast(0)) }
-    return Quantiles(histogram.getValueAtPercentile(MEDIAN), histogram.getValueAtPercentile(HIGH_PERCENTILE))
+    return Quantiles(histogram.getValueAtPercentile(MEDIAN_PERCENTILE), histogram.getValueAtPercentile(TAIL_PERCENTILE))
 }
 
-private fun busyShare(
+private fun peakUtilization(
     run: RunResult,
     spec: DeploymentSpec,
 ): Double = spec.upstreams.maxOf { upstream ->
-    val best = EngineModel(upstream.engine, EventQueue()).throughput(upstream.permits)
-    run.doneTokens.getValue(upstream.upstream) / (best * run.trace.header.endMillis / MILLIS_PER_SECOND)
+    val maxThroughput = EngineModel(upstream.engine, EventQueue()).throughput(upstream.permits)
+    run.processedTokens.getValue(upstream.upstream) / (maxThroughput * run.trace.header.endMillis / MILLIS_PER_SECOND)
 }
 
-private fun List<Outcome>.unserved(counts: (TraceRequest) -> Boolean): Int =
-    count { it.ending != Ending.Answered && counts(it.request) }
+private fun List<Outcome>.unserved(predicate: (TraceRequest) -> Boolean): Int =
+    count { it.status != OutcomeStatus.Answered && predicate(it.request) }
 
 private fun List<Outcome>.meanOf(value: (Outcome) -> Double): Double = if (isEmpty()) 0.0 else sumOf(value) / size
 
 private const val SIGNIFICANT_DIGITS = 3
-private const val MEDIAN = 50.0
-private const val HIGH_PERCENTILE = 99.0
+private const val MEDIAN_PERCENTILE = 50.0
+private const val TAIL_PERCENTILE = 99.0
--- a/replay/src/main/kotlin/io/carawaytrack/replay/Plot.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Plot.kt
@@ -1,5 +1,5 @@
 /*
- * The plot of a replay: the latency of answers over the time of their arrival, one line a policy.
+ * Plot of a replay: p99 latency of answered requests by minute of arrival, one series per policy.
  */
 package io.carawaytrack.replay
 
@@ -12,7 +12,7 @@
 import org.knowm.xchart.style.markers.SeriesMarkers
 import java.nio.file.Path
 
-/** Writes the plot of [runs] to [path], as SVG when its name ends so and as PNG otherwise. */
+/** Writes the plot of [runs] to [path], as SVG if its name ends in `.svg` and as PNG otherwise. */
 internal fun writePlot(
     runs: List<RunResult>,
     path: Path,
@@ -38,7 +38,7 @@
     runs.forEach { run ->
         val minutes =
             run.outcomes
-                .filter { it.ending == Ending.Answered }
+                .filter { it.status == OutcomeStatus.Answered }
                 .groupBy { it.request.atMillis / MILLIS_PER_MINUTE }
                 .toSortedMap()
         val latencies =
--- a/replay/src/main/kotlin/io/carawaytrack/replay/Policies.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Policies.kt
@@ -1,5 +1,5 @@
 /*
- * The policies that a replay compares: the decision code as it stands, its first version, and the usual simple rules.
+ * The policies that a replay compares: the current decision code, its first version, and common baseline policies.
  */
 package io.carawaytrack.replay
 
@@ -24,7 +24,7 @@
 import io.carawaytrack.routing.UpstreamChooser
 import kotlin.random.Random
 
-/** Makes the decision code of one entry. */
+/** Creates the planner and the chooser of each entry; [rolloutRule] decides on rollouts. */
 internal data class Policy(
     val name: String,
     val planner: (Random) -> Planner,
@@ -36,8 +36,8 @@
 private val currentChooser =
     { zone: ZoneName, nowMillis: () -> Long, random: Random -> UpstreamChooser(zone, nowMillis, random) }
 
-/** Takes the operator's expected qualities as they are, so that nothing is learned and no cascade is planned. */
-private val thinSettings =
+/** Keeps the operator's expected qualities unchanged: disables learning from ratings, exploration and cascades. */
+private val staticSettings =
     PlannerSettings(
         priorRatings = 1e12,
         provenAfterRatings = 0,
@@ -47,7 +47,7 @@
         cascadesEnabled = false,
     )
 
-/** Leaves the entry's own zone only when nothing there has room, as the chooser first did. */
+/** Leaves the entry's zone only when no upstream there has free capacity, as the first version of the chooser did. */
 private val localFirstSettings = ChooserSettings(crossZonePenaltyTokensPerPermit = 1e12)
 
 internal val currentPolicy = Policy("current", currentPlanner, currentChooser)
@@ -56,9 +56,9 @@
     listOf(
         currentPolicy,
         Policy("fixed-window", currentPlanner, currentChooser, fixedWindowRule),
-        Policy("thin", { thinPlanner(it) }, currentChooser),
-        Policy("strongest", { thinPlanner(it, UNREACHABLE_TARGET) }, currentChooser),
-        Policy("cheapest", { thinPlanner(it, target = 0.0) }, currentChooser),
+        Policy("thin", { staticPlanner(it) }, currentChooser),
+        Policy("strongest", { staticPlanner(it, UNREACHABLE_TARGET) }, currentChooser),
+        Policy("cheapest", { staticPlanner(it, target = 0.0) }, currentChooser),
         Policy(
             name = "local-first",
             planner = currentPlanner,
@@ -67,7 +67,7 @@
         Policy(
             name = "round-robin",
             planner = currentPlanner,
-            chooser = { _, _, _ -> ReportedLoadChooser { candidates, turn -> candidates[turn % candidates.size] } },
+            chooser = { _, _, _ -> ReportedLoadChooser { candidates, choice -> candidates[choice % candidates.size] } },
         ),
         Policy(
             name = "least-outstanding",
@@ -78,12 +78,12 @@
 
 private const val UNREACHABLE_TARGET = 2.0
 
-/** Creates a planner that learns nothing, sees no full version and aims at [target], or the route's when it is null. */
-private fun thinPlanner(
+/** Creates a non-learning planner that ignores full versions and aims at [target], or the route's if it is null. */
+private fun staticPlanner(
     random: Random,
     target: Double? = null,
 ): Planner {
-    val planner = Planner(random, thinSettings)
+    val planner = Planner(random, staticSettings)
     return object : Planner by planner {
         override fun plan(
             configuration: Configuration,
@@ -95,22 +95,22 @@
     }
 }
 
-/** Chooses by what agents have reported and nothing else; [pick] gets the candidates and the number of the turn. */
+/** Chooses by the reported load only; [select] receives the candidates and the number of previous choices. */
 private class ReportedLoadChooser(
-    private val pick: (List<Announcement>, Int) -> Announcement,
+    private val select: (List<Announcement>, Int) -> Announcement,
 ) : UpstreamChooser {
-    private var known: Map<UpstreamId, Announcement> = emptyMap()
-    private var turn = 0
+    private var announcements: Map<UpstreamId, Announcement> = emptyMap()
+    private var choiceNumber = 0
 
     override fun update(membership: Membership) {
-        known = membership.upstreams.associateBy { it.upstream }
+        announcements = membership.upstreams.associateBy { it.upstream }
     }
 
     override fun report(
         upstream: UpstreamId,
         load: UpstreamLoad,
     ) {
-        known[upstream]?.let { known = known + (upstream to it.copy(load = load)) }
+        announcements[upstream]?.let { announcements = announcements + (upstream to it.copy(load = load)) }
     }
 
     override fun choose(
@@ -118,10 +118,12 @@
         request: ChoiceRequest,
     ): Result<Announcement, Failure> {
         val serving =
-            known.values.filter { request.version in it.versions && configuration.inService(it.upstream, it.zone) }
+            announcements.values.filter {
+                request.version in it.versions && configuration.inService(it.upstream, it.zone)
+            }
         if (serving.isEmpty()) return Err(ErrorKind.NoHealthyUpstream.notRun())
-        val free = serving.filter { it.upstream !in request.excluded }
-        return if (free.isEmpty()) Err(ErrorKind.PoolExhausted.notRun()) else Ok(pick(free, turn++))
+        val available = serving.filter { it.upstream !in request.excluded }
+        return if (available.isEmpty()) Err(ErrorKind.PoolExhausted.notRun()) else Ok(select(available, choiceNumber++))
     }
 
     override fun started(
--- a/replay/src/main/kotlin/io/carawaytrack/replay/Replay.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Replay.kt
@@ -1,23 +1,23 @@
 /*
- * One replay: every policy on the same trace, the reference run that the trace's targets need, and the report.
+ * Runs every policy on the same trace, runs the reference trace that the targets need, and builds the report.
  */
 package io.carawaytrack.replay
 
-/** Holds the report of a replay and the runs behind it. */
+/** The report of a replay and the runs that it summarizes. */
 internal class Replay(
     val report: Report,
     val runs: List<RunResult>,
 )
 
-/** Plays [trace] with those of the policies whose name is in [names]; the current one always runs. */
+/** Simulates [trace] with the policies named in [policyNames] and always with the current policy. */
 internal fun replay(
     trace: Trace,
     seed: Long,
-    names: Set<String> = policies.map { it.name }.toSet(),
+    policyNames: Set<String> = policies.map { it.name }.toSet(),
 ): Replay {
-    val runs = policies.filter { it == currentPolicy || it.name in names }.map { simulate(trace, it, seed) }
+    val runs = policies.filter { it == currentPolicy || it.name in policyNames }.map { simulate(trace, it, seed) }
     val measures = runs.map(::measure)
-    val reference = referenceOf(trace)?.let { measure(simulate(it, currentPolicy, seed)) }
+    val reference = referenceTraceOf(trace)?.let { measure(simulate(it, currentPolicy, seed)) }
     val inputs = TargetInputs(trace.header.scenario, measures.associateBy { it.policy }, reference)
     return Replay(Report(trace.header, seed, measures, reference, checkTargets(inputs)), runs)
 }
--- a/replay/src/main/kotlin/io/carawaytrack/replay/RolloutDriver.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/RolloutDriver.kt
@@ -1,6 +1,6 @@
 /*
- * Moves a roll-out through its stages by a rule, as control hosts would: it adds up what all entries saw, asks the rule
- * once a second and changes the configuration.
+ * Drives a rollout through its stages as control hosts would: aggregates the observations of all entries, evaluates the
+ * rule once a second and updates the configuration.
  */
 package io.carawaytrack.replay
 
@@ -15,43 +15,43 @@
 import io.carawaytrack.routing.RolloutEvidence
 import io.carawaytrack.routing.VersionTally
 
-/** Decides on a roll-out from the evidence of each period of its stage and the age of the stage in milliseconds. */
+/** Decides on a rollout from the evidence of each period of its stage and the age of the stage in milliseconds. */
 internal typealias RolloutRule = (List<RolloutEvidence>, Double) -> RolloutDecision
 
-/** Judges after every second by the sequential test. */
+/** Evaluates the sequential test once a second. */
 internal val sequentialRule: RolloutRule =
     RolloutEvaluator().let { evaluator ->
         { periods, _ -> evaluator.evaluate(periods) }
     }
 
-/** Judges once, five minutes after a stage began, by the means. */
+/** Compares the mean ratings once, five minutes after the start of a stage. */
 internal val fixedWindowRule: RolloutRule = { periods, ageMillis ->
     val evidence = periods.fold(RolloutEvidence()) { sum, period -> sum + period }
     when {
         ageMillis < FIXED_WINDOW_MILLIS -> RolloutDecision.Continue
-        meanRating(evidence.to) < meanRating(evidence.from) - FIXED_WINDOW_LOSS -> RolloutDecision.RollBack
+        meanRating(evidence.to) < meanRating(evidence.from) - FIXED_WINDOW_MAX_RATING_LOSS -> RolloutDecision.RollBack
         else -> RolloutDecision.Advance
     }
 }
 
 internal class RolloutDriver(
-    private val world: World,
+    private val state: SimulationState,
     private val control: ControlModel,
     private val rule: RolloutRule,
 ) {
-    private val events = world.events
+    private val events = state.events
     private val periods = ArrayDeque<RolloutEvidence>()
-    private var periodAtMillis = 0.0
+    private var periodStartMillis = 0.0
     private var rollout: Rollout? = null
     private var stagePercent = 0
-    private var stageAtMillis = 0.0
+    private var stageStartMillis = 0.0
 
     fun start(
         percent: Int,
         untilMillis: Double,
     ) {
-        enter(world.spec.rollout.copy(percent = percent, phase = RolloutPhase.Running))
-        events.every(JUDGE_MILLIS, untilMillis) { judge() }
+        enter(state.spec.rollout.copy(percent = percent, phase = RolloutPhase.Running))
+        events.every(EVALUATION_INTERVAL_MILLIS, untilMillis) { evaluate() }
     }
 
     fun observe(
@@ -68,11 +68,11 @@
             }
     }
 
-    private fun judge() {
+    private fun evaluate() {
         val current = rollout ?: return
         if (current.phase == RolloutPhase.RolledBack || current.phase == RolloutPhase.Completed) return
-        if (events.nowMillis - periodAtMillis >= PERIOD_MILLIS) beginPeriod()
-        when (rule(periods, events.nowMillis - stageAtMillis)) {
+        if (events.nowMillis - periodStartMillis >= PERIOD_MILLIS) beginPeriod()
+        when (rule(periods, events.nowMillis - stageStartMillis)) {
             RolloutDecision.Continue -> setPercent(current, stagePercent)
             RolloutDecision.Hold -> setPercent(current, percent = 0)
             RolloutDecision.Advance -> advance(current)
@@ -82,45 +82,47 @@
 
     private fun advance(current: Rollout) {
         val next = STAGES.firstOrNull { it > stagePercent }
-        if (next == null) set(current.copy(phase = RolloutPhase.Completed)) else enter(current.copy(percent = next))
+        if (next == null) update(current.copy(phase = RolloutPhase.Completed)) else enter(current.copy(percent = next))
     }
 
     private fun rollBack(current: Rollout) {
-        set(current.copy(phase = RolloutPhase.RolledBack))
-        control.change { it.copy(versionStates = it.versionStates + (current.to.toString() to VersionState.Withdrawn)) }
+        update(current.copy(phase = RolloutPhase.RolledBack))
+        control.updateConfiguration {
+            it.copy(versionStates = it.versionStates + (current.to.toString() to VersionState.Withdrawn))
+        }
     }
 
     private fun enter(stage: Rollout) {
         periods.clear()
         beginPeriod()
         stagePercent = stage.percent
-        stageAtMillis = events.nowMillis
-        set(stage)
+        stageStartMillis = events.nowMillis
+        update(stage)
     }
 
-    /** Opens a period; the oldest ones grow into one, so that their number stays bounded. */
+    /** Begins a period; merges the two oldest when there are more than [MAX_PERIODS], to bound their number. */
     private fun beginPeriod() {
-        periodAtMillis = events.nowMillis
+        periodStartMillis = events.nowMillis
         periods.addLast(RolloutEvidence())
-        if (periods.size > PERIODS_KEPT) periods.addFirst(periods.removeFirst() + periods.removeFirst())
+        if (periods.size > MAX_PERIODS) periods.addFirst(periods.removeFirst() + periods.removeFirst())
     }
 
     private fun setPercent(
         current: Rollout,
         percent: Int,
     ) {
-        if (current.percent != percent) set(current.copy(percent = percent))
+        if (current.percent != percent) update(current.copy(percent = percent))
     }
 
-    private fun set(changed: Rollout) {
-        rollout = changed
-        control.change { configuration: Configuration -> configuration.copy(rollouts = listOf(changed)) }
+    private fun update(updated: Rollout) {
+        rollout = updated
+        control.updateConfiguration { configuration: Configuration -> configuration.copy(rollouts = listOf(updated)) }
     }
 
     private companion object {
-        const val JUDGE_MILLIS = 1_000.0
+        const val EVALUATION_INTERVAL_MILLIS = 1_000.0
         const val PERIOD_MILLIS = 30_000.0
-        const val PERIODS_KEPT = 6
+        const val MAX_PERIODS = 6
         const val SLOW_MILLIS_PER_TOKEN = 80.0
         val STAGES = listOf(1, 10, 50)
     }
@@ -129,4 +131,4 @@
 private fun meanRating(tally: VersionTally): Double = if (tally.ratings == 0L) 1.0 else tally.ratingSum / tally.ratings
 
 private const val FIXED_WINDOW_MILLIS = 300_000.0
-private const val FIXED_WINDOW_LOSS = 0.05
+private const val FIXED_WINDOW_MAX_RATING_LOSS = 0.05
--- a/replay/src/main/kotlin/io/carawaytrack/replay/Scenario.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Scenario.kt
@@ -1,19 +1,19 @@
 /*
- * What happens while a trace plays.
+ * The deployments and scenarios for which traces can be generated and simulated.
  */
 package io.carawaytrack.replay
 
 import kotlinx.serialization.Serializable
 
-/** Lists the deployments of which replays exist. */
+/** Deployments that can be simulated. */
 @Serializable
 public enum class Deployment { Penmark, Sajha }
 
 /**
- * Lists the scenarios.
+ * Scenarios that can be simulated on a deployment.
  *
- * @property loadRatio share of the deployment's peak rate at which requests arrive
- * @property measuredMillis length of the measured part
+ * @property loadRatio arrival rate as a fraction of the deployment's peak rate
+ * @property measuredMillis default length of the measured part
  */
 @Serializable
 public enum class Scenario(
@@ -31,10 +31,10 @@
     Flood(loadRatio = 0.5, measuredMillis = 600_000),
     ;
 
-    /** Time for which requests arrive before anything is measured. */
+    /** Default time for which requests arrive before measurement starts. */
     public val warmUpMillis: Long get() = WARM_UP_MILLIS
 
-    /** Name on the command line. */
+    /** Name in kebab case, as used on the command line and in reports. */
     public val commandLineName: String get() = name.replace(Regex("(?<=[a-z])(?=[A-Z])"), "-").lowercase()
 
     public companion object {
--- a/replay/src/main/kotlin/io/carawaytrack/replay/Simulation.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Simulation.kt
@@ -1,6 +1,6 @@
 /*
- * Plays one trace against one policy: entries, agents and control hosts as small stand-ins around the decision code,
- * and the events of the trace's scenario.
+ * Discrete-event simulation of one trace under one policy: simplified models of entries, agents and control hosts
+ * around the production decision code, plus the events of the trace's scenario.
  */
 package io.carawaytrack.replay
 
@@ -9,19 +9,19 @@
 import kotlin.random.Random
 
 /**
- * Holds what came out of one run.
+ * Result of one simulation run.
  *
- * @property doneTokens tokens of work that each upstream did
- * @property refusedAtGate requests that an agent turned away because the entry had thought it had room
- * @property tippedOver times that a cold engine got more than it can bear
+ * @property processedTokens tokens processed by each upstream, including prompt tokens weighted by their prefill cost
+ * @property rejectedByAgents requests that agents rejected because the entry's view of their load was outdated
+ * @property coldOverloads times that a cold engine exceeded its stream limit and restarted
  */
 internal class RunResult(
     val policy: String,
     val trace: Trace,
     val outcomes: List<Outcome>,
-    val doneTokens: Map<UpstreamId, Double>,
-    val refusedAtGate: Int,
-    val tippedOver: Int,
+    val processedTokens: Map<UpstreamId, Double>,
+    val rejectedByAgents: Int,
+    val coldOverloads: Int,
 )
 
 internal fun simulate(
@@ -37,7 +37,7 @@
 ) {
     private val spec = specOf(trace.header.deployment)
     private val events = EventQueue()
-    private val world = World(spec, events, seed)
+    private val state = SimulationState(spec, events, seed)
     private val random = Random(seed)
     private val entries =
         spec.zones.map { zone ->
@@ -45,12 +45,12 @@
                 zone = zone,
                 planner = policy.planner(Random(random.nextLong())),
                 chooser = policy.chooser(zone, { events.nowMillis.toLong() }, Random(random.nextLong())),
-                world = world,
+                state = state,
                 onObservation = { version, observation -> rollouts.observe(version, observation) },
             )
         }
-    private val control = ControlModel(world, entries, Random(random.nextLong()))
-    private val rollouts: RolloutDriver = RolloutDriver(world, control, policy.rolloutRule)
+    private val control = ControlModel(state, entries, Random(random.nextLong()))
+    private val rollouts: RolloutDriver = RolloutDriver(state, control, policy.rolloutRule)
     private val balancer = Random(random.nextLong())
 
     fun run(): RunResult {
@@ -64,52 +64,58 @@
         return RunResult(
             policy = policy.name,
             trace = trace,
-            outcomes = world.outcomes.filter { it.request.atMillis >= trace.header.warmUpMillis } + unfinished(),
-            doneTokens = world.agents.mapValues { it.value.engine.doneTokens },
-            refusedAtGate = world.agents.values.sumOf { it.refused },
-            tippedOver = world.agents.values.sumOf { it.engine.tippedOver },
+            outcomes = state.outcomes.filter { it.request.atMillis >= trace.header.warmUpMillis } + unfinished(),
+            processedTokens = state.agents.mapValues { it.value.engine.processedTokens },
+            rejectedByAgents = state.agents.values.sumOf { it.rejected },
+            coldOverloads = state.agents.values.sumOf { it.engine.coldOverloads },
         )
     }
 
-    /** Counts requests that never ended as failed. */
+    /** Returns a failed outcome for each measured request that was still unfinished after the drain time. */
     private fun unfinished(): List<Outcome> {
-        val ended = world.outcomes.map { it.request.id }.toSet()
+        val ended = state.outcomes.map { it.request.id }.toSet()
         return trace.requests
             .filter { it.id !in ended && it.atMillis >= trace.header.warmUpMillis }
-            .map { Outcome(it, Ending.Failed, DRAIN_MILLIS, DRAIN_MILLIS, 0.0, 0.0, emptyList(), exposed = false) }
+            .map {
+                Outcome(it, OutcomeStatus.Failed, DRAIN_MILLIS, DRAIN_MILLIS, 0.0, 0.0, emptyList(), exposed = false)
+            }
     }
 
     private fun scheduleScenario() {
         when (trace.header.scenario) {
-            Scenario.ZoneOut -> scheduleZoneMove()
+            Scenario.ZoneOut -> scheduleZoneOutage()
             Scenario.ColdStart -> scheduleRestarts()
-            Scenario.BadAtTen -> scheduleBadRollout(percent = 10)
-            Scenario.BadAtFifty -> scheduleBadRollout(percent = 50)
+            Scenario.BadAtTen -> scheduleDegradedRollout(percent = 10)
+            Scenario.BadAtFifty -> scheduleDegradedRollout(percent = 50)
             else -> Unit
         }
     }
 
-    private fun scheduleBadRollout(percent: Int) {
-        measuredAt(0) { rollouts.start(percent, trace.header.endMillis.toDouble()) }
-        measuredAt(BAD_MILLIS) { world.bad += spec.rolloutTo }
+    private fun scheduleDegradedRollout(percent: Int) {
+        afterWarmUp(0) { rollouts.start(percent, trace.header.endMillis.toDouble()) }
+        afterWarmUp(DEGRADATION_MILLIS) { state.degradedVersions += spec.rolloutTo }
     }
 
-    private fun scheduleZoneMove() {
-        val zone = spec.zoneToLose
-        measuredAt(OUT_MILLIS) { control.change { it.copy(zonesOut = it.zonesOut + zone) } }
-        measuredAt(BACK_MILLIS) {
-            world.agents.values
+    private fun scheduleZoneOutage() {
+        val zone = spec.outageZone
+        afterWarmUp(FIRST_CHANGE_MILLIS) { control.updateConfiguration { it.copy(zonesOut = it.zonesOut + zone) } }
+        afterWarmUp(SECOND_CHANGE_MILLIS) {
+            state.agents.values
                 .filter { it.spec.zone == zone }
                 .forEach { it.restart() }
-            control.change { it.copy(zonesOut = it.zonesOut - zone) }
+            control.updateConfiguration { it.copy(zonesOut = it.zonesOut - zone) }
         }
     }
 
-    /** Restarts every third model upstream without warning, and later every third again, shifted by one. */
+    /** Restarts every third model upstream without prior notice, and later the upstreams that follow these in order. */
     private fun scheduleRestarts() {
-        val models = world.agents.values.filter { agent -> agent.spec.versions.any { it in modelVersions() } }
-        measuredAt(OUT_MILLIS) { models.filterIndexed { index, _ -> index % RESTARTED == 0 }.forEach { it.restart() } }
-        measuredAt(BACK_MILLIS) { models.filterIndexed { index, _ -> index % RESTARTED == 1 }.forEach { it.restart() } }
+        val models = state.agents.values.filter { agent -> agent.spec.versions.any { it in modelVersions() } }
+        afterWarmUp(FIRST_CHANGE_MILLIS) {
+            models.filterIndexed { index, _ -> index % RESTART_STRIDE == 0 }.forEach { it.restart() }
+        }
+        afterWarmUp(SECOND_CHANGE_MILLIS) {
+            models.filterIndexed { index, _ -> index % RESTART_STRIDE == 1 }.forEach { it.restart() }
+        }
     }
 
     private fun modelVersions() = spec.pools
@@ -118,16 +124,16 @@
         .map { it.version }
         .toSet()
 
-    private fun measuredAt(
-        millis: Long,
+    private fun afterWarmUp(
+        offsetMillis: Long,
         action: () -> Unit,
-    ) = events.at((trace.header.warmUpMillis + millis).toDouble(), action)
+    ) = events.at((trace.header.warmUpMillis + offsetMillis).toDouble(), action)
 
     private companion object {
         const val DRAIN_MILLIS = 120_000.0
-        const val BAD_MILLIS = 30_000L
-        const val OUT_MILLIS = 120_000L
-        const val BACK_MILLIS = 300_000L
-        const val RESTARTED = 3
+        const val DEGRADATION_MILLIS = 30_000L
+        const val FIRST_CHANGE_MILLIS = 120_000L
+        const val SECOND_CHANGE_MILLIS = 300_000L
+        const val RESTART_STRIDE = 3
     }
 }
--- a/replay/src/main/kotlin/io/carawaytrack/replay/World.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/SimulationState.kt
@@ -1,7 +1,7 @@
 /*
- * What all entries of a replay share: the agents, the sessions' pins, the true quality of answers, and what became of
- * each request. Whatever is drawn for a request depends on the seed and the request alone, so that all policies meet
- * the same difficulties.
+ * State shared by all entries of a simulation: the agents, the versions that sessions are pinned to, the true quality
+ * of answers, and the outcome of each request. Random draws for a request depend only on the seed, the request and the
+ * purpose of the draw, so that all policies are compared on the same random outcomes.
  */
 package io.carawaytrack.replay
 
@@ -12,19 +12,18 @@
 import kotlin.random.Random
 import kotlin.random.asJavaRandom
 
-/** Tells how a request ended. */
-internal enum class Ending { Answered, Refused, Failed }
+internal enum class OutcomeStatus { Answered, Refused, Failed }
 
 /**
- * Records what became of a request.
+ * Outcome of a request.
  *
- * @property cost price of all versions that ran it
+ * @property cost total price of the versions that ran the request
  * @property quality true quality of the answer
- * @property exposed whether a version that had turned bad ran it
+ * @property exposed whether the request completed on a degraded version
  */
 internal data class Outcome(
     val request: TraceRequest,
-    val ending: Ending,
+    val status: OutcomeStatus,
     val latencyMillis: Double,
     val firstTokenMillis: Double,
     val cost: Double,
@@ -33,15 +32,15 @@
     val exposed: Boolean,
 )
 
-internal class World(
+internal class SimulationState(
     val spec: DeploymentSpec,
     val events: EventQueue,
     private val seed: Long,
 ) {
     val agents: Map<UpstreamId, AgentModel> = spec.upstreams.associate { it.upstream to AgentModel(it, events) }
-    val sessions = HashMap<String, ModelVersion>()
+    val pinnedVersions = HashMap<String, ModelVersion>()
     val outcomes = mutableListOf<Outcome>()
-    val bad = HashSet<ModelVersion>()
+    val degradedVersions = HashSet<ModelVersion>()
 
     private val prices =
         spec.pools
@@ -51,7 +50,7 @@
     fun delayMillis(
         from: ZoneName,
         to: ZoneName,
-    ): Double = if (from == to) spec.oneWayMillis / SAME_ZONE_DIVISOR else spec.oneWayMillis
+    ): Double = if (from == to) spec.oneWayDelayMillis / SAME_ZONE_DELAY_DIVISOR else spec.oneWayDelayMillis
 
     fun price(
         version: ModelVersion,
@@ -62,23 +61,23 @@
         request: TraceRequest,
         version: ModelVersion,
     ): Double {
-        val usual = spec.quality.getValue(version).of(request.difficulty)
-        return if (version in bad) (usual - BAD_LOSS).coerceAtLeast(0.0) else usual
+        val baseQuality = spec.quality.getValue(version).of(request.difficulty)
+        return if (version in degradedVersions) (baseQuality - QUALITY_LOSS).coerceAtLeast(0.0) else baseQuality
     }
 
     fun rating(
         request: TraceRequest,
         version: ModelVersion,
     ): Double {
-        val noise = randomOf(request, version.hashCode()).asJavaRandom().nextGaussian() * RATING_DEVIATION
+        val noise = randomOf(request, version.hashCode()).asJavaRandom().nextGaussian() * RATING_STANDARD_DEVIATION
         return (trueQuality(request, version) + noise).coerceIn(0.0, 1.0)
     }
 
-    /** Returns when the rating of a request's last answer arrives, or null when it is never rated. */
-    fun lateRatingMillis(request: TraceRequest): Double? {
-        val random = randomOf(request, LATE_RATING)
-        if (random.nextDouble() >= RATED_SHARE) return null
-        return -ln(1.0 - random.nextDouble()) * LATE_RATING_MILLIS
+    /** Returns the delay until the rating of a request's final answer arrives, or null if it is never rated. */
+    fun deferredRatingMillis(request: TraceRequest): Double? {
+        val random = randomOf(request, DEFERRED_RATING_PURPOSE)
+        if (random.nextDouble() >= RATED_RATIO) return null
+        return -ln(1.0 - random.nextDouble()) * MEAN_DEFERRED_RATING_MILLIS
     }
 
     private fun randomOf(
@@ -87,13 +86,13 @@
     ) = Random(seed * SEED_FACTOR + request.id * REQUEST_FACTOR + purpose)
 
     private companion object {
-        const val SAME_ZONE_DIVISOR = 4.0
+        const val SAME_ZONE_DELAY_DIVISOR = 4.0
         const val TOKENS_PER_KILO_TOKEN = 1_000.0
-        const val BAD_LOSS = 0.4
-        const val RATING_DEVIATION = 0.08
-        const val RATED_SHARE = 0.3
-        const val LATE_RATING_MILLIS = 20_000.0
-        const val LATE_RATING = 77
+        const val QUALITY_LOSS = 0.4
+        const val RATING_STANDARD_DEVIATION = 0.08
+        const val RATED_RATIO = 0.3
+        const val MEAN_DEFERRED_RATING_MILLIS = 20_000.0
+        const val DEFERRED_RATING_PURPOSE = 77
         const val SEED_FACTOR = 1_000_003L
         const val REQUEST_FACTOR = 7_919L
     }
--- a/replay/src/main/kotlin/io/carawaytrack/replay/Trace.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Trace.kt
@@ -1,5 +1,5 @@
 /*
- * Traces as JSON lines: a header that says where the trace comes from, then one request a line in the order of arrival.
+ * Traces as JSON lines: a header that describes the origin of the trace, then one request per line in order of arrival.
  * The format is described in docs/TRACES.md.
  */
 package io.carawaytrack.replay
@@ -15,19 +15,19 @@
 import kotlin.io.path.readLines
 import kotlin.io.path.writeLines
 
-/** Names the format in the header of every trace. */
+/** Format identifier in the header of every trace. */
 public const val TRACE_FORMAT: String = "carawaytrack-trace/1"
 
-/** Tells whether a trace was recorded from processes or made from a seed. */
+/** Whether a trace was recorded from processes or generated from a seed. */
 @Serializable
 public enum class TraceOrigin { Recorded, Seed }
 
 /**
- * Opens a trace.
+ * Header of a trace.
  *
- * @property seed seed that the requests were made from; null for a recorded trace
- * @property warmUpMillis moment until which outcomes are left out of the measures
- * @property endMillis moment after which no request arrives
+ * @property seed seed that the requests were generated from; null for a recorded trace
+ * @property warmUpMillis time before which arriving requests are excluded from the measures
+ * @property endMillis time after which no request arrives
  */
 @Serializable
 public data class TraceHeader(
@@ -41,12 +41,12 @@
 )
 
 /**
- * Describes one request.
+ * One request of a trace.
  *
- * @property difficulty from 0, which every version answers well, to 1
- * @property session name of the session, null for a request on its own
- * @property readMillis time that the caller takes to read the answer
- * @property flood whether the request is part of a flood, which a reference run leaves out
+ * @property difficulty from 0, at which every version reaches its best quality, to 1
+ * @property session name of the session; null for a request outside a session
+ * @property readMillis time that the caller takes to read the answer; 0 for a caller that reads at once
+ * @property flood whether the request is part of a flood; the reference run excludes these
  */
 @Serializable
 public data class TraceRequest(
@@ -65,19 +65,19 @@
     public val tokens: Long get() = promptTokens + answerTokens
 }
 
-/** Holds a whole trace. */
+/** A complete trace. */
 public data class Trace(
     val header: TraceHeader,
     val requests: List<TraceRequest>,
 )
 
-/** Says which line of a trace could not be read. */
+/** Reports the line of a trace that could not be read. */
 public data class TraceReadError(
     val line: Int,
     val detail: String,
 )
 
-/** Reads the trace at [path]; fails with the first line that is no header or request. */
+/** Reads the trace at [path]; fails with the first line that is not a valid header or request. */
 public fun readTrace(path: Path): Result<Trace, TraceReadError> {
     val lines = path.readLines().filter(String::isNotBlank)
     var line = 1
@@ -93,12 +93,12 @@
         } else {
             Err(TraceReadError(1, "expected format $TRACE_FORMAT, got ${header.format}"))
         }
-    } catch (fault: SerializationException) {
-        Err(TraceReadError(line, fault.message.orEmpty()))
+    } catch (exception: SerializationException) {
+        Err(TraceReadError(line, exception.message.orEmpty()))
     }
 }
 
-/** Writes [trace] to [path], one line for the header and one for each request. */
+/** Writes [trace] to [path] as one line for the header and one line per request. */
 public fun writeTrace(
     trace: Trace,
     path: Path,
--- a/replay/src/main/kotlin/io/carawaytrack/replay/TraceMaker.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/TraceGenerator.kt
@@ -1,6 +1,6 @@
 /*
- * Makes traces from a seed: arrivals without memory at the scenario's rate, organisations of unlike size, sessions of a
- * few turns, and a caller's reading time where the scenario asks for slow readers.
+ * Generates traces from a seed: Poisson arrivals at the scenario's rate, organisations of different sizes, sessions of
+ * a few turns, and callers' reading times in the scenario with slow readers.
  */
 package io.carawaytrack.replay
 
@@ -9,8 +9,8 @@
 import kotlin.random.Random
 
 /**
- * Makes the trace of [scenario] on [deployment] from [seed]; nothing is measured for [warmUpMillis], and then for
- * [lengthMillis].
+ * Generates the trace of [scenario] on [deployment] from [seed]: a warm-up of [warmUpMillis] that is excluded from the
+ * measures, followed by a measured part of [lengthMillis].
  */
 public fun generateTrace(
     deployment: Deployment,
@@ -28,10 +28,10 @@
             warmUpMillis = warmUpMillis,
             endMillis = warmUpMillis + lengthMillis,
         )
-    return Trace(header, TraceMaker(header, Random(seed)).requests())
+    return Trace(header, TraceGenerator(header, Random(seed)).requests())
 }
 
-private class TraceMaker(
+private class TraceGenerator(
     private val header: TraceHeader,
     private val random: Random,
 ) {
@@ -39,23 +39,22 @@
     private var sessions = 0
 
     fun requests(): List<TraceRequest> {
-        val made = usual() + if (header.scenario == Scenario.Flood) flood() else emptyList()
-        return made.sortedBy { it.atMillis }.mapIndexed { index, request -> request.copy(id = index) }
+        val generated = baselineRequests() + if (header.scenario == Scenario.Flood) floodRequests() else emptyList()
+        return generated.sortedBy { it.atMillis }.mapIndexed { index, request -> request.copy(id = index) }
     }
 
-    private fun usual(): List<TraceRequest> =
-        arrivals(0.0, header.endMillis.toDouble(), spec.peakPerSecond * header.scenario.loadRatio).flatMap { atMillis ->
-            conversation(atMillis, drawTraffic(), drawOrganisation())
-        }
+    private fun baselineRequests(): List<TraceRequest> =
+        arrivals(0.0, header.endMillis.toDouble(), spec.peakRequestsPerSecond * header.scenario.loadRatio)
+            .flatMap { atMillis -> requestOrSession(atMillis, drawTraffic(), drawOrganisation()) }
 
-    private fun flood(): List<TraceRequest> {
+    private fun floodRequests(): List<TraceRequest> {
         val from = header.warmUpMillis + FLOOD_START_MILLIS
         val until = minOf(from + FLOOD_MILLIS, header.endMillis)
-        return arrivals(from.toDouble(), until.toDouble(), spec.peakPerSecond * FLOOD_LOAD).map { atMillis ->
+        return arrivals(from.toDouble(), until.toDouble(), spec.peakRequestsPerSecond * FLOOD_LOAD).map { atMillis ->
             request(
                 atMillis,
                 spec.traffic.first(),
-                organisationName(FLOODING_NUMBER),
+                organisationName(FLOODING_ORGANISATION),
                 session = null,
             ).copy(flood = true)
         }
@@ -66,17 +65,20 @@
         untilMillis: Double,
         perSecond: Double,
     ): List<Double> = buildList {
-        var atMillis = fromMillis + gapMillis(perSecond)
+        var atMillis = fromMillis + interarrivalMillis(perSecond)
         while (atMillis < untilMillis) {
             add(atMillis)
-            atMillis += gapMillis(perSecond)
+            atMillis += interarrivalMillis(perSecond)
         }
     }
 
-    private fun gapMillis(perSecond: Double) = -ln(1.0 - random.nextDouble()) / perSecond * MILLIS_PER_SECOND
+    private fun interarrivalMillis(perSecond: Double) = -ln(1.0 - random.nextDouble()) / perSecond * MILLIS_PER_SECOND
 
-    /** Returns one request, or the turns of a session; sessions start the more rarely, the more turns they have. */
-    private fun conversation(
+    /**
+     * Returns one request, or the turns of a session. A session starts with a probability of one over its number of
+     * turns, so that sessions keep the route's share of the traffic.
+     */
+    private fun requestOrSession(
         atMillis: Double,
         traffic: RouteTraffic,
         organisation: String,
@@ -87,7 +89,7 @@
         var turnAtMillis = atMillis
         return List(traffic.sessionTurns) {
             val turn = request(turnAtMillis, traffic, organisation, session)
-            turnAtMillis += TURN_MILLIS * (1 + random.nextDouble())
+            turnAtMillis += MIN_TURN_INTERVAL_MILLIS * (1 + random.nextDouble())
             turn
         }.filter { it.atMillis < header.endMillis }
     }
@@ -113,31 +115,32 @@
     }
 
     private fun readMillis(answerTokens: Long): Long {
-        val slow = header.scenario == Scenario.SlowReaders && random.nextBoolean()
-        return if (slow) answerTokens * SLOW_READ_MILLIS_PER_TOKEN else 0
+        val isSlowReader = header.scenario == Scenario.SlowReaders && random.nextBoolean()
+        return if (isSlowReader) answerTokens * SLOW_READ_MILLIS_PER_TOKEN else 0
     }
 
     private fun drawTraffic(): RouteTraffic {
-        var left = random.nextDouble()
+        var remaining = random.nextDouble()
         return spec.traffic.firstOrNull {
-            left -= it.share
-            left < 0
+            remaining -= it.share
+            remaining < 0
         } ?: spec.traffic.last()
     }
 
     private fun drawOrganisation(): String {
-        val large = random.nextDouble() < LARGE_SHARE
-        val number = if (large) random.nextInt(LARGE_COUNT) else random.nextInt(LARGE_COUNT, ORGANISATION_COUNT)
+        val large = random.nextDouble() < LARGE_ORGANISATIONS_RATIO
+        val number =
+            if (large) random.nextInt(LARGE_ORGANISATIONS) else random.nextInt(LARGE_ORGANISATIONS, ORGANISATION_COUNT)
         return organisationName(number)
     }
 
     private companion object {
-        const val LARGE_SHARE = 0.5
-        const val TURN_MILLIS = 20_000.0
+        const val LARGE_ORGANISATIONS_RATIO = 0.5
+        const val MIN_TURN_INTERVAL_MILLIS = 20_000.0
         const val SLOW_READ_MILLIS_PER_TOKEN = 100L
         const val FLOOD_START_MILLIS = 120_000L
         const val FLOOD_MILLIS = 180_000L
         const val FLOOD_LOAD = 2.0
-        const val FLOODING_NUMBER = 0
+        const val FLOODING_ORGANISATION = 0
     }
 }
--- a/replay/src/test/kotlin/io/carawaytrack/replay/ReplayTest.kt
+++ b/replay/src/test/kotlin/io/carawaytrack/replay/ReplayTest.kt
@@ -1,5 +1,5 @@
 /*
- * Replays of committed traces against their stated outcomes, and the pieces that the outcomes rest on.
+ * Tests replays of committed traces against their expected reports, and the models and checks behind the reports.
  */
 package io.carawaytrack.replay
 
@@ -24,16 +24,16 @@
     private val traces = Path.of("traces")
 
     @TestFactory
-    fun `replay of a committed trace has its stated outcome`(): List<DynamicTest> =
+    fun `replay of a committed trace produces its expected report`(): List<DynamicTest> =
         listOf("penmark-quiet", "sajha-quiet").map { name ->
             dynamicTest(name) {
                 val trace = readTrace(traces.resolve("$name.jsonl")).getOrElse { error(it.detail) }
-                val report = replay(trace, seed = 1, names = setOf("strongest")).report
+                val report = replay(trace, seed = 1, policyNames = setOf("strongest")).report
                 expectThat(report.asJson().trim()).isEqualTo(traces.resolve("$name.outcome.json").readText().trim())
             }
         }
 
-    private data class Fault(
+    private data class InvalidTrace(
         val name: String,
         val text: String,
         val line: Int,
@@ -42,25 +42,29 @@
     private val header =
         """{"origin":"Recorded","deployment":"Sajha","scenario":"Peak","warmUpMillis":0,"endMillis":1000}"""
 
-    private val faults =
+    private val invalidTraces =
         listOf(
-            Fault("an empty file", "", 1),
-            Fault("a header of another format", header.replace("{\"origin", "{\"format\":\"other/1\",\"origin"), 1),
-            Fault("a line that is no request", "$header\n{\"id\":1}", 2),
+            InvalidTrace("an empty file", "", 1),
+            InvalidTrace(
+                "a header of another format",
+                header.replace("{\"origin", "{\"format\":\"other/1\",\"origin"),
+                1,
+            ),
+            InvalidTrace("a line that is not a request", "$header\n{\"id\":1}", 2),
         )
 
     @TestFactory
-    fun `readTrace names the line of`(
+    fun `readTrace reports the line of`(
         @TempDir folder: Path,
-    ): List<DynamicTest> = faults.map { fault ->
-        dynamicTest(fault.name) {
-            val path = folder.resolve("trace.jsonl").also { it.writeText(fault.text) }
-            expectThat(readTrace(path).getError()?.line).isEqualTo(fault.line)
+    ): List<DynamicTest> = invalidTraces.map { invalid ->
+        dynamicTest(invalid.name) {
+            val path = folder.resolve("trace.jsonl").also { it.writeText(invalid.text) }
+            expectThat(readTrace(path).getError()?.line).isEqualTo(invalid.line)
         }
     }
 
     @Test
-    fun `generateTrace and writeTrace give the same trace for the same seed`(
+    fun `generateTrace is deterministic for a seed and writeTrace preserves the trace`(
         @TempDir folder: Path,
     ) {
         val trace = generateTrace(Deployment.Sajha, Scenario.Flood, seed = 5, lengthMillis = 200_000, warmUpMillis = 0)
@@ -71,9 +75,10 @@
     }
 
     @Test
-    fun `an engine shares its speed among streams and tips over when too many join while it is cold`() {
+    fun `an engine slows down with concurrent streams and restarts when a cold start is overloaded`() {
         val events = EventQueue()
-        val engine = EngineModel(EngineSpec(tokensPerSecond = 100.0, slowdown = 1.0, coldStreams = 1), events)
+        val engine =
+            EngineModel(EngineSpec(tokensPerSecond = 100.0, slowdownPerStream = 1.0, maxColdStreams = 1), events)
         val ends = mutableListOf<Pair<Long, Boolean>>()
         val submit = { engine.submit(EngineStream(0, 99, {}) { ends += events.nowMillis.toLong() to it }) }
         repeat(2) { submit() }
@@ -83,11 +88,11 @@
         ends.clear()
         repeat(2) { submit() }
         expectThat(ends.map { it.second }).isEqualTo(listOf(false, false))
-        expectThat(engine.tippedOver).isEqualTo(1)
+        expectThat(engine.coldOverloads).isEqualTo(1)
     }
 
     @Test
-    fun `the command writes a report and a plot and refuses a trace that is not there to be read`(
+    fun `the command writes a report and a plot and rejects an empty trace and an unknown scenario`(
         @TempDir folder: Path,
     ) {
         val plot = folder.resolve("plot.svg")
@@ -106,7 +111,7 @@
     )
 
     @TestFactory
-    fun `the cost target is met only at sixty percent and at the quality target`(): List<DynamicTest> =
+    fun `the cost target requires at most sixty percent of the cost and the target quality`(): List<DynamicTest> =
         listOf(CostCase(0.6, 0.9, true), CostCase(0.61, 0.9, false), CostCase(0.3, 0.79, false)).map { case ->
             dynamicTest("$case") {
                 val current = measures("current", case.cost, case.quality)
@@ -117,14 +122,14 @@
         }
 
     @Test
-    fun `a target whose reference was not run is not called met`() {
+    fun `a target is not checked when the run it compares with is missing`() {
         val inputs = TargetInputs(Scenario.Peak, mapOf("current" to measures("current", 0.1, 0.9)), reference = null)
         expectThat(checkTargets(inputs).single().met).isEqualTo(null)
         expectThat(checkTargets(inputs).any { it.met == true }).isFalse()
     }
 
     @Test
-    fun `the flood target is missed when small organisations go unserved however fast the others are`() {
+    fun `the flood target is missed when a small organisation is unserved even with unchanged latency`() {
         val flooded = mapOf("current" to measures("current", 1.0, 0.9, unserved = 1))
         val inputs = TargetInputs(Scenario.Flood, flooded, reference = measures("current", 1.0, 0.9))
         expectThat(checkTargets(inputs).single().met).isEqualTo(false)
