--- a/replay/src/main/kotlin/io/carawaytrack/replay/Main.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Main.kt
@@ -29,7 +29,7 @@
 @Command(
     name = "caraway-replay",
     mixinStandardHelpOptions = true,
-    description = ["Plays traces against the routing decisions, beside simpler policies, and checks the targets."],
+    description = ["Simulates traces against the routing decisions and baseline policies, and checks the targets."],
 )
 private class ReplayCommand : Callable<Int> {
     @Option(names = ["--deployment"], description = ["penmark or sajha (default: penmark)"])
@@ -44,22 +44,22 @@
     )
     private var scenario: Scenario = Scenario.Peak
 
-    @Option(names = ["--seed"], description = ["seed of made traces and of all draws (default: 1)"])
+    @Option(names = ["--seed"], description = ["seed of generated traces and of all random draws (default: 1)"])
     private var seed: Long = 1
 
-    @Option(names = ["--trace"], description = ["trace to play in place of one made from the seed"])
+    @Option(names = ["--trace"], description = ["trace to simulate instead of one generated from the seed"])
     private var tracePath: Path? = null
 
-    @Option(names = ["--write-trace"], description = ["file to which the played trace is written"])
+    @Option(names = ["--write-trace"], description = ["file to which the simulated trace is written"])
     private var writtenTracePath: Path? = null
 
-    @Option(names = ["--seconds"], description = ["length of the measured part of a made trace"])
+    @Option(names = ["--seconds"], description = ["length of the measured part of a generated trace"])
     private var seconds: Long? = null
 
-    @Option(names = ["--warm-up-seconds"], description = ["time before the measured part of a made trace"])
+    @Option(names = ["--warm-up-seconds"], description = ["time before the measured part of a generated trace"])
     private var warmUpSeconds: Long? = null
 
-    @Option(names = ["--policy"], description = ["policies to run beside the current one (default: all)"])
+    @Option(names = ["--policy"], description = ["policies to run in addition to the current one (default: all)"])
     private var policyNames: Set<String> = policies.map { it.name }.toSet()
 
     @Option(names = ["--output"], description = ["text or json (default: text)"])
--- a/replay/src/main/kotlin/io/carawaytrack/replay/Report.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Report.kt
@@ -21,10 +21,10 @@
 internal fun Report.asJson(): String = prettyJson.encodeToString(Report.serializer(), this)
 
 internal fun Report.asText(): String = buildString {
-    val origin = if (header.origin == TraceOrigin.Seed) "made from seed ${header.seed}" else "recorded"
+    val origin = if (header.origin == TraceOrigin.Seed) "generated from seed ${header.seed}" else "recorded"
     appendLine(
         "${header.deployment.name.lowercase()}, ${header.scenario.commandLineName}, trace $origin, " +
-            "played with seed $seed",
+            "simulated with seed $seed",
     )
     appendLine(TABLE_HEADER)
     measures.forEach { appendLine(row(it.policy, it)) }
--- a/replay/src/main/kotlin/io/carawaytrack/replay/Targets.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Targets.kt
@@ -88,8 +88,8 @@
 )
 
 private fun coldStartCheck(inputs: TargetInputs): TargetCheck = TargetCheck(
-    "a cold upstream never gets more than it can bear",
-    "${inputs.current.tippedOver} times over, ${inputs.current.refusedAtGate} turned away at the last gate",
+    "a cold upstream never receives more than its cold capacity",
+    "${inputs.current.tippedOver} times exceeded, ${inputs.current.refusedAtGate} rejected by agents",
     inputs.current.tippedOver == 0,
 )
 
