--- a/replay/src/main/kotlin/io/carawaytrack/replay/Main.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Main.kt
@@ -15,13 +15,13 @@
 import java.util.concurrent.Callable
 import kotlin.system.exitProcess
 
-/** Runs the command and ends the process with its exit code. */
-@Suppress("SpreadOperator") // picocli takes nothing but varargs; the copy is made once
+/** Runs the command and exits the process with its exit code. */
+@Suppress("SpreadOperator") // picocli accepts only varargs; the array is copied once
 public fun main(args: Array<String>) {
     exitProcess(replayCommandLine().execute(*args))
 }
 
-/** Creates the command line; it exits with 1 when a trace can't be read and with 2 on wrong options. */
+/** Creates the command line, whose exit code is 1 when a trace can't be read and 2 on invalid options. */
 public fun replayCommandLine(): CommandLine = CommandLine(ReplayCommand()).setCaseInsensitiveEnumValuesAllowed(true)
 
 internal enum class OutputFormat { Text, Json }
@@ -29,7 +29,7 @@
 @Command(
     name = "caraway-replay",
     mixinStandardHelpOptions = true,
-    description = ["Plays traces against the routing decisions, beside simpler policies, and checks the targets."],
+    description = ["Simulates traces against the routing decisions and baseline policies, and checks the targets."],
 )
 private class ReplayCommand : Callable<Int> {
     @Option(names = ["--deployment"], description = ["penmark or sajha (default: penmark)"])
@@ -44,22 +44,22 @@
     )
     private var scenario: Scenario = Scenario.Peak
 
-    @Option(names = ["--seed"], description = ["seed of made traces and of all draws (default: 1)"])
+    @Option(names = ["--seed"], description = ["seed of generated traces and of all random draws (default: 1)"])
     private var seed: Long = 1
 
-    @Option(names = ["--trace"], description = ["trace to play in place of one made from the seed"])
+    @Option(names = ["--trace"], description = ["trace to simulate instead of one generated from the seed"])
     private var tracePath: Path? = null
 
-    @Option(names = ["--write-trace"], description = ["file to which the played trace is written"])
+    @Option(names = ["--write-trace"], description = ["file to which the simulated trace is written"])
     private var writtenTracePath: Path? = null
 
-    @Option(names = ["--seconds"], description = ["length of the measured part of a made trace"])
+    @Option(names = ["--seconds"], description = ["length of the measured part of a generated trace"])
     private var seconds: Long? = null
 
-    @Option(names = ["--warm-up-seconds"], description = ["time before the measured part of a made trace"])
+    @Option(names = ["--warm-up-seconds"], description = ["time before the measured part of a generated trace"])
     private var warmUpSeconds: Long? = null
 
-    @Option(names = ["--policy"], description = ["policies to run beside the current one (default: all)"])
+    @Option(names = ["--policy"], description = ["policies to run in addition to the current one (default: all)"])
     private var policyNames: Set<String> = policies.map { it.name }.toSet()
 
     @Option(names = ["--output"], description = ["text or json (default: text)"])
@@ -68,18 +68,20 @@
     @Option(names = ["--plot"], description = ["file for a plot, .svg or .png"])
     private var plotPath: Path? = null
 
-    override fun call(): Int = trace().fold({ play(it) }, { refuse(it) })
+    override fun call(): Int = trace().fold({ runSimulations(it) }, { reportReadError(it) })
 
-    private fun trace(): Result<Trace, TraceFault> {
+    private fun trace(): Result<Trace, TraceReadError> {
         val path = tracePath
         if (path != null) return readTrace(path)
         val lengthMillis = millis(seconds) ?: scenario.measuredMillis
-        return Ok(makeTrace(deployment, scenario, seed, lengthMillis, millis(warmUpSeconds) ?: scenario.warmUpMillis))
+        return Ok(
+            generateTrace(deployment, scenario, seed, lengthMillis, millis(warmUpSeconds) ?: scenario.warmUpMillis),
+        )
     }
 
     private fun millis(seconds: Long?): Long? = seconds?.let { it * MILLIS_PER_SECOND.toLong() }
 
-    private fun play(trace: Trace): Int {
+    private fun runSimulations(trace: Trace): Int {
         writtenTracePath?.let { writeTrace(trace, it) }
         val replay = replay(trace, seed, policyNames)
         println(if (output == OutputFormat.Json) replay.report.asJson() else replay.report.asText())
@@ -87,13 +89,16 @@
         return 0
     }
 
-    private fun refuse(fault: TraceFault): Int {
-        System.err.println("trace line ${fault.line}: ${fault.detail}")
+    private fun reportReadError(error: TraceReadError): Int {
+        System.err.println("trace line ${error.line}: ${error.detail}")
         return 1
     }
 }
 
 private class ScenarioConverter : ITypeConverter<Scenario> {
-    override fun convert(value: String): Scenario = Scenario.entries.firstOrNull { it.text == value.lowercase() }
-        ?: throw TypeConversionException("expected one of ${Scenario.entries.joinToString { it.text }}, got $value")
+    override fun convert(value: String): Scenario =
+        Scenario.entries.firstOrNull { it.commandLineName == value.lowercase() }
+            ?: throw TypeConversionException(
+                "expected one of ${Scenario.entries.joinToString { it.commandLineName }}, got $value",
+            )
 }
