--- a/ctl/src/main/kotlin/io/carawaytrack/ctl/AdminClient.kt
+++ b/ctl/src/main/kotlin/io/carawaytrack/ctl/AdminClient.kt
@@ -1,6 +1,6 @@
 /*
- * The client of the administration API. It asks one control host after the other until the leader answers or the time
- * is up; a resend of a change carries the same operation id, so that control applies it once.
+ * Client of the administration API. It tries the control hosts in turn until the leader answers or the timeout expires.
+ * A retry of a change carries the same operation id, so that control applies the change once.
  */
 package io.carawaytrack.ctl
 
@@ -29,16 +29,16 @@
 import kotlinx.serialization.builtins.ListSerializer
 import kotlinx.serialization.json.Json
 
-/** Longest wait for one control host before the next one is asked, in milliseconds. */
-internal const val TRY_TIMEOUT_MILLIS = 2_000L
+/** Timeout of one control host, after which the next one is tried. */
+internal const val ATTEMPT_TIMEOUT_MILLIS = 2_000L
 
-/** Pause after all control hosts have been asked in vain, in milliseconds. */
-private const val ROUND_PAUSE_MILLIS = 200L
+/** Delay before all control hosts are tried again when none of them gave a final answer. */
+private const val RETRY_DELAY_MILLIS = 200L
 
-/** Statuses that carry the answer that was asked for. */
+/** HTTP status codes of responses that carry the requested value. */
 private val successStatuses = 200..299
 
-/** Reads and writes the messages of the administration API; fields of a newer control host are passed over. */
+/** Encodes and decodes messages of the administration API; ignores fields that a newer control host adds. */
 internal val adminJson = Json { ignoreUnknownKeys = true }
 
 /** Describes one HTTP request to a control host. */
@@ -50,25 +50,25 @@
     val body: String? = null,
 )
 
-/** Describes the HTTP answer of a control host. */
+/** Describes the HTTP response of a control host. */
 internal data class AdminResponse(
     val status: Int,
     val body: String,
 )
 
-/** Says why a control host gave no HTTP answer. */
-internal data class NoAnswer(
+/** Describes why a control host gave no HTTP response. */
+internal data class NoResponse(
     val reason: String,
 )
 
 /** Sends one request to one control host. */
-internal typealias AdminTransport = suspend (AdminRequest) -> Result<AdminResponse, NoAnswer>
+internal typealias AdminTransport = suspend (AdminRequest) -> Result<AdminResponse, NoResponse>
 
 /**
- * Tells a client whom to ask.
+ * Describes how a client reaches control.
  *
  * @property token bearer token of the operator
- * @property timeoutMillis bound on one call over all tries
+ * @property timeoutMillis timeout of one call, over all of its attempts
  */
 internal class AdminSettings(
     val addresses: List<HostPort>,
@@ -76,62 +76,62 @@
     val timeoutMillis: Long,
 )
 
-/** Asks the control hosts. */
+/** Calls the administration API. */
 internal interface AdminClient {
-    /** Fetches everything that is in force. */
+    /** Fetches the configuration in force. */
     suspend fun configuration(): Result<Configuration, CtlError>
 
-    /** Asks for one change; sends it again under the same operation id when an answer is lost. */
+    /** Submits one change; retries it under the same operation id when an answer is lost. */
     suspend fun change(request: ChangeRequest): Result<ChangeReply, CtlError>
 
     /** Fetches the accepted changes from number [from] on. */
     suspend fun history(from: Long): Result<List<HistoryEntry>, CtlError>
 
-    /** Fetches what is in force where. */
+    /** Fetches the status of the control hosts, the other processes and the upstreams. */
     suspend fun status(): Result<StatusReport, CtlError>
 
     /** Fetches the bills of [organisation]. */
     suspend fun bills(organisation: OrganisationName): Result<List<Bill>, CtlError>
 
-    /** Asks for one change of the control group; sent again, it is refused when the first one was carried out. */
+    /** Submits one change of the control group; a retry is refused if the first attempt was carried out. */
     suspend fun member(request: MemberRequest): Result<MemberReply, CtlError>
 }
 
-/** Creates a client that sends by [send]. */
+/** Creates a client that sends its requests with [send]. */
 internal fun AdminClient(
     settings: AdminSettings,
     send: AdminTransport,
 ): AdminClient = RetryingAdminClient(settings, send)
 
-/** Holds what one try brought. */
-private sealed interface Try<out T> {
-    /** The leader has spoken. */
+/** Describes the outcome of one attempt. */
+private sealed interface Attempt<out T> {
+    /** The answer ends the call. */
     data class Final<T>(
         val result: Result<T, CtlError>,
-    ) : Try<T>
+    ) : Attempt<T>
 
-    /** Another host, or the same one later, may answer. */
-    data class AskAgain(
+    /** Another host, or the same host later, may give a final answer. */
+    data class Retry(
         val reason: String,
-    ) : Try<Nothing>
+    ) : Attempt<Nothing>
 }
 
 private class RetryingAdminClient(
     private val settings: AdminSettings,
     private val send: AdminTransport,
 ) : AdminClient {
-    /** Control host that answered last and is asked first. */
-    private var lastAnswering = settings.addresses.firstOrNull()
+    /** Control host that gave the last final answer; it is tried first. */
+    private var lastAnsweringHost = settings.addresses.firstOrNull()
 
-    /** Bound on one try, short enough that each host is asked at least once. */
-    private val tryTimeoutMillis = minOf(TRY_TIMEOUT_MILLIS, settings.timeoutMillis / settings.addresses.size)
+    /** Timeout of one attempt, short enough that each host is tried at least once. */
+    private val attemptTimeoutMillis = minOf(ATTEMPT_TIMEOUT_MILLIS, settings.timeoutMillis / settings.addresses.size)
 
     override suspend fun configuration() = get("/v1/configuration", Configuration.serializer())
 
     override suspend fun change(request: ChangeRequest): Result<ChangeReply, CtlError> {
         val body = adminJson.encodeToString(ChangeRequest.serializer(), request)
         return call("POST", "/v1/changes", body, ChangeReply.serializer()).mapError { error ->
-            if (error is CtlError.Unreachable) error.withResendHint(request.operationId) else error
+            if (error is CtlError.Unreachable) error.withRetryHint(request.operationId) else error
         }
     }
 
@@ -147,92 +147,93 @@
         return call("POST", "/v1/members", body, MemberReply.serializer())
     }
 
-    private fun CtlError.Unreachable.withResendHint(operationId: String) = CtlError.Unreachable(
+    private fun CtlError.Unreachable.withRetryHint(operationId: String) = CtlError.Unreachable(
         "$message; the change may have been accepted: send it again with --operation-id $operationId",
     )
 
     private suspend fun <T> get(
         pathAndQuery: String,
-        answer: DeserializationStrategy<T>,
-    ): Result<T, CtlError> = call("GET", pathAndQuery, null, answer)
+        deserializer: DeserializationStrategy<T>,
+    ): Result<T, CtlError> = call("GET", pathAndQuery, null, deserializer)
 
     private suspend fun <T> call(
         method: String,
         pathAndQuery: String,
         body: String?,
-        answer: DeserializationStrategy<T>,
+        deserializer: DeserializationStrategy<T>,
     ): Result<T, CtlError> {
         val reasons = linkedMapOf<HostPort, String>()
         val result =
             withTimeoutOrNull(settings.timeoutMillis) {
-                askInTurn(reasons) { address ->
-                    tryOnce(AdminRequest(address, method, pathAndQuery, settings.token, body), answer)
+                tryInTurn(reasons) { address ->
+                    attempt(AdminRequest(address, method, pathAndQuery, settings.token, body), deserializer)
                 }
             }
         return result ?: Err(unreachable(reasons))
     }
 
     private fun unreachable(reasons: Map<HostPort, String>): CtlError.Unreachable {
-        val told = settings.addresses.joinToString("; ") { "$it: ${reasons[it] ?: "not asked"}" }
-        return CtlError.Unreachable("no leading control host answered within ${settings.timeoutMillis} ms ($told)")
+        val details = settings.addresses.joinToString("; ") { "$it: ${reasons[it] ?: "not asked"}" }
+        return CtlError.Unreachable("no leading control host answered within ${settings.timeoutMillis} ms ($details)")
     }
 
-    /** Asks the hosts in turn until one gives a final answer; keeps why the others did not in [reasons]. */
-    private suspend fun <T> askInTurn(
+    /** Tries the hosts in turn until one gives a final answer; records in [reasons] why the others gave none. */
+    private suspend fun <T> tryInTurn(
         reasons: MutableMap<HostPort, String>,
-        ask: suspend (HostPort) -> Try<T>,
+        attempt: suspend (HostPort) -> Attempt<T>,
     ): Result<T, CtlError> {
         while (true) {
-            for (address in settings.addresses.sortedByDescending { it == lastAnswering }) {
-                when (val outcome = ask(address)) {
-                    is Try.Final -> return outcome.result.also { lastAnswering = address }
-                    is Try.AskAgain -> reasons[address] = outcome.reason
+            for (address in settings.addresses.sortedByDescending { it == lastAnsweringHost }) {
+                when (val outcome = attempt(address)) {
+                    is Attempt.Final -> return outcome.result.also { lastAnsweringHost = address }
+                    is Attempt.Retry -> reasons[address] = outcome.reason
                 }
             }
-            delay(ROUND_PAUSE_MILLIS)
+            delay(RETRY_DELAY_MILLIS)
         }
     }
 
-    private suspend fun <T> tryOnce(
+    private suspend fun <T> attempt(
         request: AdminRequest,
-        answer: DeserializationStrategy<T>,
-    ): Try<T> {
-        val sent =
-            withTimeoutOrNull(tryTimeoutMillis) { send(request) }
-                ?: return Try.AskAgain("no answer within $tryTimeoutMillis ms")
-        return sent.fold(
-            success = { if (it.status in successStatuses) accepted(it, answer) else refused(it) },
-            failure = { Try.AskAgain(it.reason) },
+        deserializer: DeserializationStrategy<T>,
+    ): Attempt<T> {
+        val response =
+            withTimeoutOrNull(attemptTimeoutMillis) { send(request) }
+                ?: return Attempt.Retry("no answer within $attemptTimeoutMillis ms")
+        return response.fold(
+            success = { if (it.status in successStatuses) successOutcome(it, deserializer) else failureOutcome(it) },
+            failure = { Attempt.Retry(it.reason) },
         )
     }
 
-    private fun <T> accepted(
+    private fun <T> successOutcome(
         response: AdminResponse,
-        answer: DeserializationStrategy<T>,
-    ): Try<T> {
+        deserializer: DeserializationStrategy<T>,
+    ): Attempt<T> {
         val value =
-            decode(response.body, answer) ?: return Try.AskAgain("answered ${response.status} with a body that is none")
-        return Try.Final(Ok(value))
+            decode(response.body, deserializer)
+                ?: return Attempt.Retry("answered ${response.status} with a body that cannot be decoded")
+        return Attempt.Final(Ok(value))
     }
 
-    /** Takes a refusal as the last word only where it is certain that nothing was changed. */
-    private fun refused(response: AdminResponse): Try<Nothing> {
+    /** Treats a refusal as final only if it is certain that nothing was changed. */
+    private fun failureOutcome(response: AdminResponse): Attempt<Nothing> {
         val failure =
             decode(response.body, Failure.serializer())
-                ?: return Try.AskAgain("answered ${response.status} without a failure that can be read")
+                ?: return Attempt.Retry("answered ${response.status} without a failure that can be decoded")
         val isFinal = !failure.kind.retryable && failure.execution == Execution.NotRun
         return if (isFinal) {
-            Try.Final(Err(CtlError.Refused(failure)))
+            Attempt.Final(Err(CtlError.Refused(failure)))
         } else {
-            Try.AskAgain("${failure.kind}: ${failure.detail}")
+            Attempt.Retry("${failure.kind}: ${failure.detail}")
         }
     }
 
     private fun <T> decode(
         body: String,
-        answer: DeserializationStrategy<T>,
+        deserializer: DeserializationStrategy<T>,
     ): T? = try {
-        adminJson.decodeFromString(answer, body)
+        adminJson.decodeFromString(deserializer, body)
     } catch (_: SerializationException) {
         null
     }
--- a/ctl/src/main/kotlin/io/carawaytrack/ctl/ChangeCommands.kt
+++ b/ctl/src/main/kotlin/io/carawaytrack/ctl/ChangeCommands.kt
@@ -1,6 +1,6 @@
 /*
- * The commands that change what is in force. Each asks for one change; with `--wait` it then looks until every process
- * of the system has it.
+ * Commands that change the configuration in force. Each submits one change; with `--wait` it then polls the status
+ * until every process holds the change.
  */
 package io.carawaytrack.ctl
 
@@ -29,12 +29,12 @@
 import picocli.CommandLine.Option
 import picocli.CommandLine.Parameters
 
-/** Pause between two looks at the status, in milliseconds. */
-private const val POLL_PAUSE_MILLIS = 200L
+/** Delay between two polls of the status with `--wait`. */
+private const val POLL_INTERVAL_MILLIS = 200L
 
-private val percents = 0..100
+private val percentRange = 0..100
 
-/** Holds the options that all changes share. */
+/** Holds the options that all commands for changes share. */
 internal class ChangeOptions {
     @Option(
         names = ["--base"],
@@ -46,7 +46,9 @@
     @Option(
         names = ["--operation-id"],
         paramLabel = "ID",
-        description = ["Identifies the change; give that of an earlier try to send it again (default: a new one)."],
+        description = [
+            "Identifies the change; to retry a change, give the id of the earlier attempt (default: a new id).",
+        ],
     )
     var operationId: String? = null
 
@@ -54,7 +56,7 @@
         names = ["--wait"],
         description = [
             "Waits until every process has the change, at most $IN_FORCE_BOUND_MILLIS ms;",
-            "fails with who is behind.",
+            "fails and names the processes that are behind.",
         ],
     )
     var wait: Boolean = false
@@ -63,10 +65,10 @@
 /**
  * Reports an accepted change.
  *
- * @property inForce whether every process has it; null when nobody waited for that
- * @property behind processes that did not have it at the last look
- * @property lastError why the last look at the status failed, null when it did not
- * @property warnings what the operator may not have meant
+ * @property inForce whether every process holds it; null without `--wait`
+ * @property behind processes that did not hold it at the last poll
+ * @property lastError why the last poll of the status failed, null when it succeeded
+ * @property warnings effects of the change that the operator may not have intended
  */
 @Serializable
 internal data class ChangeReport(
@@ -79,7 +81,7 @@
     val warnings: List<String> = emptyList(),
 )
 
-/** Asks for one change. */
+/** Submits one change. */
 internal abstract class ChangeCommand : Action {
     @Mixin
     lateinit var options: ChangeOptions
@@ -99,7 +101,7 @@
 
     private fun request(session: Session): Result<ChangeRequest, CtlError> = change().map { change ->
         ChangeRequest(
-            operationId = options.operationId ?: session.surroundings.newOperationId(),
+            operationId = options.operationId ?: session.context.newOperationId(),
             baseNumber = options.base,
             change = change,
         )
@@ -119,25 +121,25 @@
     return Report(accepted, text, ExitCode.NotInForce)
 }
 
-/** Looks at the status until every process has the change, for as long as that may take. */
+/** Polls the status until every process holds the change or the time limit of [IN_FORCE_BOUND_MILLIS] is over. */
 private suspend fun AdminClient.awaitInForce(accepted: ChangeReport): ChangeReport {
     var last = accepted.copy(inForce = false, lastError = "no status within $IN_FORCE_BOUND_MILLIS ms")
     withTimeoutOrNull(IN_FORCE_BOUND_MILLIS) {
-        last = look(last)
+        last = poll(last)
         while (last.inForce != true) {
-            delay(POLL_PAUSE_MILLIS)
-            last = look(last)
+            delay(POLL_INTERVAL_MILLIS)
+            last = poll(last)
         }
     }
     return last
 }
 
-private suspend fun AdminClient.look(before: ChangeReport): ChangeReport = status().fold(
+private suspend fun AdminClient.poll(previous: ChangeReport): ChangeReport = status().fold(
     success = { status ->
-        val behind = status.holders.behind(before.number)
-        before.copy(inForce = behind.isEmpty(), behind = behind, lastError = null)
+        val behind = status.holders.behind(previous.number)
+        previous.copy(inForce = behind.isEmpty(), behind = behind, lastError = null)
     },
-    failure = { before.copy(lastError = it.message) },
+    failure = { previous.copy(lastError = it.message) },
 )
 
 @Command(name = "apply", description = ["Checks both tables and brings them into force."])
@@ -148,7 +150,7 @@
     override fun change(): Result<ConfigurationChange, CtlError> = files.read().map(ConfigurationChange::ApplyTables)
 }
 
-@Command(name = "rollback", description = ["Restores what was in force at a number, as a new change."])
+@Command(name = "rollback", description = ["Restores the configuration of a number, as a new change."])
 internal class RollbackCommand : ChangeCommand() {
     @Parameters(paramLabel = "N", description = ["Number to restore; see history."])
     var number: Long = 0
@@ -156,7 +158,7 @@
     override fun change(): Result<ConfigurationChange, CtlError> = Ok(ConfigurationChange.RollbackTo(number))
 }
 
-/** Takes a zone out or brings it back. */
+/** Takes a zone out of service or brings it back. */
 internal abstract class ZoneChange(
     private val inService: Boolean,
 ) : ChangeCommand() {
@@ -175,12 +177,12 @@
 
 @Command(
     name = "zone",
-    description = ["Takes availability zones out of service and back."],
+    description = ["Takes availability zones out of service and brings them back."],
     subcommands = [ZoneOutCommand::class, ZoneInCommand::class],
 )
 internal class ZoneCommand
 
-/** Takes an upstream out or brings it back. */
+/** Takes an upstream out of service or brings it back. */
 internal abstract class UpstreamChange(
     private val inService: Boolean,
 ) : ChangeCommand() {
@@ -199,7 +201,7 @@
 
 @Command(
     name = "upstream",
-    description = ["Takes upstreams out of service and back."],
+    description = ["Takes upstreams out of service and brings them back."],
     subcommands = [UpstreamOutCommand::class, UpstreamInCommand::class],
 )
 internal class UpstreamCommand
@@ -245,11 +247,16 @@
         names = ["--from"],
         required = true,
         paramLabel = "MODEL@VERSION",
-        description = ["Version that they leave."],
+        description = ["Version that the requests leave."],
     )
     lateinit var from: ModelVersion
 
-    @Option(names = ["--to"], required = true, paramLabel = "MODEL@VERSION", description = ["Version that they go to."])
+    @Option(
+        names = ["--to"],
+        required = true,
+        paramLabel = "MODEL@VERSION",
+        description = ["Version that the requests move to."],
+    )
     lateinit var to: ModelVersion
 
     @Option(
@@ -265,8 +272,8 @@
     }
 }
 
-/** Moves a roll-out to another phase. */
-internal abstract class RolloutMove(
+/** Sets the phase of a roll-out. */
+internal abstract class RolloutPhaseChange(
     private val phase: RolloutPhase,
 ) : ChangeCommand() {
     @Parameters(paramLabel = "NAME", description = ["Name of the roll-out."])
@@ -275,7 +282,7 @@
     override fun change(): Result<ConfigurationChange, CtlError> = Ok(ConfigurationChange.AdvanceRollout(name, phase))
 }
 
-@Command(name = "advance", description = ["Sends another share of new requests to the new version."])
+@Command(name = "advance", description = ["Changes the share of new requests that goes to the new version."])
 internal class RolloutAdvanceCommand : ChangeCommand() {
     @Parameters(paramLabel = "NAME", description = ["Name of the roll-out."])
     lateinit var name: String
@@ -292,17 +299,17 @@
         checkedPercent(percent).map { ConfigurationChange.AdvanceRollout(name, RolloutPhase.Running, it) }
 }
 
-@Command(name = "pause", description = ["Holds a roll-out at its share."])
-internal class RolloutPauseCommand : RolloutMove(RolloutPhase.Paused)
+@Command(name = "pause", description = ["Pauses a roll-out at its current share."])
+internal class RolloutPauseCommand : RolloutPhaseChange(RolloutPhase.Paused)
 
-@Command(name = "resume", description = ["Lets a held roll-out go on."])
-internal class RolloutResumeCommand : RolloutMove(RolloutPhase.Running)
+@Command(name = "resume", description = ["Resumes a paused roll-out."])
+internal class RolloutResumeCommand : RolloutPhaseChange(RolloutPhase.Running)
 
 @Command(name = "complete", description = ["Ends a roll-out with all requests on the new version."])
-internal class RolloutCompleteCommand : RolloutMove(RolloutPhase.Completed)
+internal class RolloutCompleteCommand : RolloutPhaseChange(RolloutPhase.Completed)
 
 @Command(name = "rollback", description = ["Ends a roll-out with all requests on the old version."])
-internal class RolloutRollbackCommand : RolloutMove(RolloutPhase.RolledBack)
+internal class RolloutRollbackCommand : RolloutPhaseChange(RolloutPhase.RolledBack)
 
 @Command(
     name = "rollout",
@@ -319,4 +326,4 @@
 internal class RolloutCommand
 
 private fun checkedPercent(percent: Int): Result<Int, CtlError> =
-    if (percent in percents) Ok(percent) else usage("--percent: expected a number from 0 to 100, got $percent")
+    if (percent in percentRange) Ok(percent) else usageError("--percent: expected a number from 0 to 100, got $percent")
--- a/ctl/src/main/kotlin/io/carawaytrack/ctl/Commands.kt
+++ b/ctl/src/main/kotlin/io/carawaytrack/ctl/Commands.kt
@@ -1,5 +1,5 @@
 /*
- * The commands that change nothing: checks of files, views of what is in force, and helpers for operators.
+ * Commands that change nothing: checks of files, views of the state that control reports, and helpers for operators.
  */
 package io.carawaytrack.ctl
 
@@ -34,13 +34,13 @@
 /** Moves the cursor to the top and clears the screen. */
 private const val CLEAR_SCREEN = "\u001b[H\u001b[2J"
 
-/** Does what one command line asks for. */
+/** Implements one command. */
 internal interface Action {
-    /** Returns what there is to say, or why it could not be done. */
+    /** Returns the report of the command, or why it failed. */
     suspend fun run(session: Session): Result<Report, CtlError>
 }
 
-/** Names the two files of the tables. */
+/** Holds the parameters that name the two table files. */
 internal class TableFiles {
     @Parameters(index = "0", paramLabel = "ROUTES", description = ["File with the organisations and routes."])
     lateinit var routes: Path
@@ -53,7 +53,7 @@
         readTables(routes, pools).mapBoth({ Ok(it) }, { Err(CtlError.FaultyTables(it)) })
 }
 
-/** Counts the rows of sound tables. */
+/** Counts the rows of valid tables. */
 @Serializable
 internal data class CheckReport(
     val organisations: Int,
@@ -61,7 +61,10 @@
     val pools: Int,
 )
 
-@Command(name = "check", description = ["Checks both tables without asking control; names every fault with its line."])
+@Command(
+    name = "check",
+    description = ["Checks both tables without contacting control; reports every fault with its line."],
+)
 internal class CheckCommand : Action {
     @CommandLine.Mixin
     lateinit var files: TableFiles
@@ -75,7 +78,10 @@
     }
 }
 
-@Command(name = "status", description = ["Shows what is in force where, who is behind, and what serves."])
+@Command(
+    name = "status",
+    description = ["Shows the configuration in force, the processes that are behind, and what serves."],
+)
 internal class StatusCommand : Action {
     override suspend fun run(session: Session): Result<Report, CtlError> =
         session.client().andThen { it.status() }.map { Report<StatusReport>(it, statusText(it)) }
@@ -87,7 +93,7 @@
         session.client().andThen { it.configuration() }.map { Report<Configuration>(it, configurationText(it)) }
 }
 
-@Command(name = "history", description = ["Lists the accepted changes with who asked for them."])
+@Command(name = "history", description = ["Lists the accepted changes with the operators who made them."])
 internal class HistoryCommand : Action {
     @Option(names = ["--from"], paramLabel = "N", defaultValue = "1", description = ["First number to list."])
     var from: Long = 1
@@ -98,7 +104,12 @@
 
 @Command(name = "bills", description = ["Lists what an organisation is charged, one row a request."])
 internal class BillsCommand : Action {
-    @Option(names = ["--organisation"], required = true, paramLabel = "NAME", description = ["Whose bills to list."])
+    @Option(
+        names = ["--organisation"],
+        required = true,
+        paramLabel = "NAME",
+        description = ["Organisation whose bills are listed."],
+    )
     lateinit var organisation: String
 
     override suspend fun run(session: Session): Result<Report, CtlError> = session
@@ -107,19 +118,24 @@
         .map { Report<List<Bill>>(it, billsText(it)) }
 }
 
-@Command(name = "top", description = ["Shows the status again and again until it has been shown often enough."])
+@Command(name = "top", description = ["Shows the status repeatedly, as many times as --refreshes says."])
 internal class TopCommand : Action {
     @Option(names = ["--once"], description = ["Shows the status once and leaves the screen as it is."])
     var once: Boolean = false
 
-    @Option(names = ["--refreshes"], paramLabel = "N", defaultValue = "3600", description = ["How often to show it."])
+    @Option(
+        names = ["--refreshes"],
+        paramLabel = "N",
+        defaultValue = "3600",
+        description = ["Number of times to show it."],
+    )
     var refreshes: Int = 1
 
     @Option(
         names = ["--interval-millis"],
         paramLabel = "MILLIS",
         defaultValue = "1000",
-        description = ["Pause between."],
+        description = ["Pause between two refreshes."],
     )
     var intervalMillis: Long = 0
 
@@ -127,17 +143,17 @@
         val client = session.client().getOrElse { return Err(it) }
         if (once) return client.status().map { Report<StatusReport>(it, statusText(it)) }
         repeat(refreshes - 1) {
-            session.show(refreshed(client).getOrElse { return Err(it) })
+            session.show(refresh(client).getOrElse { return Err(it) })
             delay(intervalMillis)
         }
-        return refreshed(client)
+        return refresh(client)
     }
 
-    private suspend fun refreshed(client: AdminClient): Result<Report, CtlError> =
+    private suspend fun refresh(client: AdminClient): Result<Report, CtlError> =
         client.status().map { Report<StatusReport>(it, CLEAR_SCREEN + statusText(it)) }
 }
 
-/** Holds the digest that the routes table takes for a key. */
+/** Holds the digest that stands for a key in the routes table. */
 @Serializable
 internal data class KeyDigest(
     val keySha256: String,
@@ -149,8 +165,8 @@
 )
 internal class KeyDigestCommand : Action {
     override suspend fun run(session: Session): Result<Report, CtlError> {
-        val key = session.surroundings.readInput().trim()
-        if (key.isEmpty()) return usage("expected a key on the standard input, got none")
+        val key = session.context.readInput().trim()
+        if (key.isEmpty()) return usageError("expected a key on the standard input, got none")
         val digest = MessageDigest.getInstance("SHA-256").digest(key.toByteArray())
         val hex = digest.joinToString("") { "%02x".format(it) }
         return Ok(Report(KeyDigest(hex), hex))
@@ -159,7 +175,7 @@
 
 @Command(
     name = "explain",
-    description = ["Tells what logs say of one request, in order, and what they don't say; * marks its own lines."],
+    description = ["Shows the log lines of one request in order, and what they lack; * marks its own lines."],
 )
 internal class ExplainCommand : Action {
     @Parameters(index = "0", paramLabel = "ID", description = ["The identifier of the request's attempt."])
@@ -171,16 +187,16 @@
     override suspend fun run(session: Session): Result<Report, CtlError> {
         val lines =
             try {
-                if (files.isEmpty()) session.surroundings.readInput().lines() else files.flatMap(Files::readAllLines)
+                if (files.isEmpty()) session.context.readInput().lines() else files.flatMap(Files::readAllLines)
             } catch (e: IOException) {
-                return usage("expected readable logs, got $e")
+                return usageError("expected readable logs, got $e")
             }
-        val story = explain(requestId, lines.asSequence())
-        return Ok(Report(story, storyText(story)))
+        val timeline = explain(requestId, lines.asSequence())
+        return Ok(Report(timeline, timelineText(timeline)))
     }
 }
 
-/** Holds a script for the shell. */
+/** Holds a shell completion script. */
 @Serializable
 internal data class CompletionScript(
     val script: String,
--- a/ctl/src/main/kotlin/io/carawaytrack/ctl/Explain.kt
+++ b/ctl/src/main/kotlin/io/carawaytrack/ctl/Explain.kt
@@ -1,6 +1,6 @@
 /*
- * The story of one request, read from the logs of any number of processes: the lines that carry its identifier, those
- * that changed what its hosts believed meanwhile, and what no line says.
+ * Timeline of one request, built from the logs of any number of processes: the lines that carry its identifier, the
+ * events that meanwhile changed the state known to its hosts, and what no line reports.
  */
 package io.carawaytrack.ctl
 
@@ -14,20 +14,20 @@
 import java.time.Instant
 import java.time.format.DateTimeParseException
 
-/** Time before a request's first line in which events on its hosts and upstreams concern it, in milliseconds. */
-private const val BEFORE_MILLIS = 5_000L
+/** Time before a request's first line in which events on its hosts and upstreams are included. */
+private const val INCLUDED_BEFORE_MILLIS = 5_000L
 
-/** Time after its last line, in milliseconds: a host that was killed is back by then. */
-private const val AFTER_MILLIS = 3_000L
+/** Time after a request's last line in which such events are included; a killed host has restarted by then. */
+private const val INCLUDED_AFTER_MILLIS = 3_000L
 
-private const val REQUEST_ID = "requestId"
-private const val UPSTREAM = "upstream"
-private const val NODE = "node"
+private const val REQUEST_ID_FIELD = "requestId"
+private const val UPSTREAM_FIELD = "upstream"
+private const val NODE_FIELD = "node"
 
-/** Events that end a request's story. */
-private val endings = setOf("request_ended", "request_refused")
+/** Events that end a request. */
+private val finalEvents = setOf("request_ended", "request_refused")
 
-/** Events of a host that bear on every request it has. */
+/** Events of a host that may affect each of its requests. */
 private val hostEvents =
     setOf(
         "started",
@@ -44,20 +44,20 @@
         "lines_dropped",
     )
 
-/** Events that tell of an upstream. */
+/** Events that report a change of an upstream. */
 private val upstreamEvents = setOf("upstream_changed", "upstream_gone")
 
-/** Fields that say who wrote a line, and how, rather than what happened. */
-private val frame =
-    setOf("timestamp", "message", NODE, "role", "availabilityZone", "logger", "thread", "level", REQUEST_ID)
+/** Fields that describe a line's origin, or that a timeline shows outside [TimelineLine.fields]. */
+private val originFields =
+    setOf("timestamp", "message", NODE_FIELD, "role", "availabilityZone", "logger", "thread", "level", REQUEST_ID_FIELD)
 
 /**
- * Holds one line of a log.
+ * Describes one log line of a timeline.
  *
- * @property ofRequest whether the line carries the request's identifier; the others only bear on it
+ * @property ofRequest whether the line carries the request's identifier; the other lines may have affected the request
  */
 @Serializable
-internal data class StoryLine(
+internal data class TimelineLine(
     val timestamp: String,
     val node: String,
     val event: String,
@@ -66,80 +66,80 @@
 )
 
 /**
- * Tells what the logs say of one request.
+ * Describes what the logs contain about one request.
  *
  * @property lines in order of time; the clocks of hosts may differ
- * @property missing what the logs don't say, and why that may be
+ * @property missing what the logs do not contain, with the likely reason
  */
 @Serializable
-internal data class Story(
+internal data class RequestTimeline(
     val requestId: String,
-    val lines: List<StoryLine>,
+    val lines: List<TimelineLine>,
     val missing: List<String>,
 )
 
-/** A line that was read, with the moment at which it was written. */
-private class Entry(
+/** A parsed log line and the time at which it was written. */
+private class LogLine(
     val at: Instant,
     val json: JsonObject,
 ) {
-    val node = json.text(NODE).orEmpty()
+    val node = json.text(NODE_FIELD).orEmpty()
     val event = json.text("message").orEmpty()
-    val upstream = json.text(UPSTREAM)
+    val upstream = json.text(UPSTREAM_FIELD)
 
-    fun isOf(requestId: String) = json.text(REQUEST_ID) == requestId
+    fun isOf(requestId: String) = json.text(REQUEST_ID_FIELD) == requestId
 
-    fun toLine(requestId: String) = StoryLine(
+    fun toLine(requestId: String) = TimelineLine(
         timestamp = json.text("timestamp").orEmpty(),
         node = node,
         event = event,
         ofRequest = isOf(requestId),
-        fields = JsonObject(json.filterKeys { it !in frame }),
+        fields = JsonObject(json.filterKeys { it !in originFields }),
     )
 }
 
-/** Returns what [lines] say of the request [requestId]; text before the first brace of a line is passed over. */
+/** Returns the timeline of the request [requestId]; ignores the text before the first brace of each of the [lines]. */
 internal fun explain(
     requestId: String,
     lines: Sequence<String>,
-): Story {
-    val log = lines.mapNotNull(::entry).sortedBy { it.at }.toList()
+): RequestTimeline {
+    val log = lines.mapNotNull(::parseLogLine).sortedBy { it.at }.toList()
     val own = log.filter { it.isOf(requestId) }
-    if (own.isEmpty()) return Story(requestId, emptyList(), listOf(nothingSaid(log)))
-    val around = log.filter { it.bearsOn(own) }
+    if (own.isEmpty()) return RequestTimeline(requestId, emptyList(), listOf(noLineFound(log)))
+    val related = log.filter { it.isRelatedTo(own) }
     val lastViews = own.map { it.node }.distinct().mapNotNull { node -> lastViewBefore(own.first(), node, log) }
-    val story = (own + around + lastViews).distinct().sortedBy { it.at }
-    return Story(requestId, story.map { it.toLine(requestId) }, missing(own, log))
+    val included = (own + related + lastViews).distinct().sortedBy { it.at }
+    return RequestTimeline(requestId, included.map { it.toLine(requestId) }, missing(own, log))
 }
 
-private fun entry(line: String): Entry? {
+private fun parseLogLine(line: String): LogLine? {
     val start = line.indexOf('{')
     if (start < 0) return null
     return try {
         val json = Json.parseToJsonElement(line.substring(start)).jsonObject
-        json.text("timestamp")?.let { Entry(Instant.parse(it), json) }
+        json.text("timestamp")?.let { LogLine(Instant.parse(it), json) }
     } catch (_: IllegalArgumentException) {
-        // Logs hold lines of other programs too, such as those of the Java machine.
+        // Logs also contain lines of other programs, such as the Java virtual machine.
         null
     } catch (_: DateTimeParseException) {
         null
     }
 }
 
-private fun Entry.bearsOn(own: List<Entry>): Boolean {
-    val from = own.first().at.minusMillis(BEFORE_MILLIS)
-    val until = own.last().at.plusMillis(AFTER_MILLIS)
+private fun LogLine.isRelatedTo(own: List<LogLine>): Boolean {
+    val from = own.first().at.minusMillis(INCLUDED_BEFORE_MILLIS)
+    val until = own.last().at.plusMillis(INCLUDED_AFTER_MILLIS)
     if (at < from || at > until || own.none { it.node == node }) return false
     return event in hostEvents || event in upstreamEvents && own.any { it.upstream == upstream }
 }
 
 private fun lastViewBefore(
-    first: Entry,
+    first: LogLine,
     node: String,
-    log: List<Entry>,
-): Entry? = log.lastOrNull { it.node == node && it.event == "view_adopted" && it.at <= first.at }
+    log: List<LogLine>,
+): LogLine? = log.lastOrNull { it.node == node && it.event == "view_adopted" && it.at <= first.at }
 
-private fun nothingSaid(log: List<Entry>): String {
+private fun noLineFound(log: List<LogLine>): String {
     if (log.isEmpty()) return "no line of a log was read"
     val nodes = log.map { it.node }.distinct().sorted()
     val dropped = log.filter { it.event == "lines_dropped" }.map { it.node }.distinct()
@@ -150,15 +150,15 @@
 }
 
 private fun missing(
-    own: List<Entry>,
-    log: List<Entry>,
+    own: List<LogLine>,
+    log: List<LogLine>,
 ): List<String> = listOfNotNull(missingEnd(own, log)) + missingUpstreams(own, log)
 
 private fun missingEnd(
-    own: List<Entry>,
-    log: List<Entry>,
+    own: List<LogLine>,
+    log: List<LogLine>,
 ): String? {
-    if (own.any { it.event in endings }) return null
+    if (own.any { it.event in finalEvents }) return null
     val last = own.last()
     val later = log.filter { it.node == last.node && it.at > last.at }
     val restart = later.firstOrNull { it.event == "started" }
@@ -175,29 +175,29 @@
 }
 
 private fun missingUpstreams(
-    own: List<Entry>,
-    log: List<Entry>,
+    own: List<LogLine>,
+    log: List<LogLine>,
 ): List<String> {
-    val told = log.filter { it.event in upstreamEvents }.mapNotNull { it.upstream }.toSet()
+    val reported = log.filter { it.event in upstreamEvents }.mapNotNull { it.upstream }.toSet()
     return own
         .mapNotNull { it.upstream }
         .distinct()
-        .filterNot { it in told }
+        .filterNot { it in reported }
         .map { "no line says when upstream $it was first known; the logs may begin later" }
 }
 
-/** Writes a story for people. */
-internal fun storyText(story: Story): String {
+/** Renders a timeline as text. */
+internal fun timelineText(timeline: RequestTimeline): String {
     val lines =
-        story.lines.map { line ->
+        timeline.lines.map { line ->
             val mark = if (line.ofRequest) "*" else " "
-            val fields = line.fields.entries.joinToString(" ") { (name, value) -> "$name=${value.shown()}" }
+            val fields = line.fields.entries.joinToString(" ") { (name, value) -> "$name=${value.toText()}" }
             "$mark ${line.timestamp} ${line.node} ${line.event} $fields".trimEnd()
         }
-    val missing = story.missing.map { "missing: $it" }
-    return (listOf("request ${story.requestId}") + lines + missing).joinToString("\n")
+    val missing = timeline.missing.map { "missing: $it" }
+    return (listOf("request ${timeline.requestId}") + lines + missing).joinToString("\n")
 }
 
-private fun JsonElement.shown(): String = if (this is JsonPrimitive) content else toString()
+private fun JsonElement.toText(): String = if (this is JsonPrimitive) content else toString()
 
 private fun JsonObject.text(name: String): String? = (this[name] as? JsonPrimitive)?.contentOrNull
--- a/ctl/src/main/kotlin/io/carawaytrack/ctl/HttpTransport.kt
+++ b/ctl/src/main/kotlin/io/carawaytrack/ctl/HttpTransport.kt
@@ -1,5 +1,5 @@
 /*
- * The transport of the administration API over HTTP.
+ * HTTP transport of the administration API.
  */
 package io.carawaytrack.ctl
 
@@ -20,24 +20,24 @@
 import java.io.IOException
 import java.nio.channels.UnresolvedAddressException
 
-/** Longest answer that is read, in bytes. */
-private const val HIGHEST_BODY_BYTES = 64L * 1024 * 1024
+/** Size up to which a response body is read; the rest is ignored. */
+private const val MAX_BODY_BYTES = 64L * 1024 * 1024
 
-/** Creates the HTTP client that [httpTransport] sends by; whoever creates it closes it. */
+/** Creates the HTTP client for [httpTransport]; the caller closes it. */
 internal fun adminHttpClient(): HttpClient = HttpClient(CIO) {
     expectSuccess = false
     followRedirects = false
-    engine { requestTimeout = TRY_TIMEOUT_MILLIS }
+    engine { requestTimeout = ATTEMPT_TIMEOUT_MILLIS }
 }
 
-/** Creates a transport that sends by [client]. */
+/** Creates a transport that sends its requests with [client]. */
 internal fun httpTransport(client: HttpClient): AdminTransport = { request ->
     try {
         Ok(client.prepare(request).execute { it.toAdminResponse() })
     } catch (e: IOException) {
-        Err(NoAnswer(e.message ?: e.toString()))
+        Err(NoResponse(e.message ?: e.toString()))
     } catch (_: UnresolvedAddressException) {
-        Err(NoAnswer("the name has no address"))
+        Err(NoResponse("the host name cannot be resolved"))
     }
 }
 
@@ -52,6 +52,6 @@
     }
 
 private suspend fun HttpResponse.toAdminResponse(): AdminResponse {
-    val body = bodyAsChannel().readRemaining(HIGHEST_BODY_BYTES).readString()
+    val body = bodyAsChannel().readRemaining(MAX_BODY_BYTES).readString()
     return AdminResponse(status.value, body)
 }
--- a/ctl/src/main/kotlin/io/carawaytrack/ctl/Main.kt
+++ b/ctl/src/main/kotlin/io/carawaytrack/ctl/Main.kt
@@ -1,6 +1,6 @@
 /*
- * The program carawayctl: it reads the command line, runs the one command that it names and ends with an exit code
- * of ExitCode.kt.
+ * Main function of carawayctl: parses the command line, runs the command that it names, and exits with the code of its
+ * outcome.
  */
 package io.carawaytrack.ctl
 
@@ -21,7 +21,7 @@
 
 @Command(
     name = "carawayctl",
-    description = ["Drives carawaytrack over the administration API of its control hosts."],
+    description = ["Administers carawaytrack through the administration API of its control hosts."],
     mixinStandardHelpOptions = true,
     version = ["carawayctl 0.1.0"],
     scope = ScopeType.INHERIT,
@@ -49,7 +49,7 @@
     lateinit var options: SharedOptions
 }
 
-/** Creates the parser of the command line. */
+/** Creates the command-line parser. */
 internal fun commandLine(): CommandLine = CommandLine(RootCommand()).apply {
     isCaseInsensitiveEnumValuesAllowed = true
     registerConverter(ModelVersion::class.java) { text ->
@@ -59,10 +59,10 @@
     commandSpec.usageMessage().exitCodeList(ExitCode.entries.associate { " ${it.code}" to it.meaning })
 }
 
-/** Runs the command that [arguments] name and returns how it ended. */
+/** Runs the command that [arguments] name and returns its exit code. */
 internal suspend fun runCarawayctl(
     arguments: List<String>,
-    surroundings: Surroundings,
+    context: CommandContext,
 ): ExitCode {
     val commandLine = commandLine()
     val parse = commandLine::parseArgs
@@ -70,56 +70,56 @@
         try {
             parse(arguments.toTypedArray())
         } catch (e: ParameterException) {
-            surroundings.printError("carawayctl: ${e.message}")
-            surroundings.printError("Try '${e.commandLine.commandSpec.qualifiedName()} --help'.")
+            context.printError("carawayctl: ${e.message}")
+            context.printError("Try '${e.commandLine.commandSpec.qualifiedName()} --help'.")
             return ExitCode.Usage
         }
-    val named = parsed.asCommandLineList().last()
+    val selected = parsed.asCommandLineList().last()
     when {
-        named.isUsageHelpRequested -> surroundings.printOut(named.usageMessage.trimEnd())
-        named.isVersionHelpRequested ->
-            surroundings.printOut(
-                named.commandSpec
+        selected.isUsageHelpRequested -> context.printOut(selected.usageMessage.trimEnd())
+        selected.isVersionHelpRequested ->
+            context.printOut(
+                selected.commandSpec
                     .root()
                     .version()
                     .joinToString(),
             )
-        else -> return runCommand(commandLine, named, surroundings)
+        else -> return runCommand(commandLine, selected, context)
     }
     return ExitCode.Done
 }
 
 private suspend fun runCommand(
     root: CommandLine,
-    named: CommandLine,
-    surroundings: Surroundings,
+    selected: CommandLine,
+    context: CommandContext,
 ): ExitCode {
-    val action = named.commandSpec.userObject() as? Action
+    val action = selected.commandSpec.userObject() as? Action
     if (action == null) {
-        surroundings.printError("carawayctl: expected one of the commands ${named.subcommands.keys.joinToString()}")
+        context.printError("carawayctl: expected one of the commands ${selected.subcommands.keys.joinToString()}")
         return ExitCode.Usage
     }
-    val session = Session(root.getCommand<RootCommand>().options, surroundings)
+    val session = Session(root.getCommand<RootCommand>().options, context)
     return action.run(session).mapBoth(
         success = { report -> report.exit.also { session.show(report) } },
         failure = { error -> error.exit.also { session.show(error) } },
     )
 }
 
-/** Runs carawayctl and ends the process with its exit code. */
+/** Runs carawayctl and exits the process with its exit code. */
 public fun main(arguments: Array<String>) {
     (LoggerFactory.getLogger(Logger.ROOT_LOGGER_NAME) as Logger).level = Level.OFF
     val client = lazy { adminHttpClient() }
-    val surroundings =
-        Surroundings(
+    val context =
+        CommandContext(
             transport = { request -> httpTransport(client.value)(request) },
-            environment = System::getenv,
+            environmentVariable = System::getenv,
             readInput = { System.`in`.readBytes().decodeToString() },
             newOperationId = { UUID.randomUUID().toString() },
             printOut = { println(it) },
             printError = { System.err.println(it) },
         )
-    val exit = runBlocking { runCarawayctl(arguments.toList(), surroundings) }
+    val exit = runBlocking { runCarawayctl(arguments.toList(), context) }
     if (client.isInitialized()) client.value.close()
     exitProcess(exit.code)
 }
--- a/ctl/src/main/kotlin/io/carawaytrack/ctl/MemberCommands.kt
+++ b/ctl/src/main/kotlin/io/carawaytrack/ctl/MemberCommands.kt
@@ -1,6 +1,6 @@
 /*
- * The commands that change which hosts keep the state: a host that has lost its disk is replaced by a new one, which
- * first learns the state and then votes.
+ * Commands that change the members of the control group. A host that has lost its disk is replaced by a new one, which
+ * first replicates the state and then votes.
  */
 package io.carawaytrack.ctl
 
@@ -17,14 +17,14 @@
 import picocli.CommandLine.Command
 import picocli.CommandLine.Parameters
 
-/** Changes the members of the control group by one host. */
+/** Adds, promotes or removes one member of the control group. */
 internal abstract class MemberChangeCommand(
     private val action: MemberAction,
 ) : Action {
     @Parameters(index = "0", paramLabel = "NODE", description = ["Node name in the host's settings."])
     lateinit var node: String
 
-    /** Link address of the host, where the change needs one. */
+    /** Returns the link address of the host, null when the change needs none. */
     protected open fun address(): Result<HostPort?, CtlError> = Ok(null)
 
     override suspend fun run(session: Session): Result<Report, CtlError> = address()
@@ -33,7 +33,7 @@
         .map { Report<MemberReply>(it, "${it.node}: ${it.action.name.lowercase()}") }
 }
 
-@Command(name = "add", description = ["Adds a new control host, which learns the state and does not vote yet."])
+@Command(name = "add", description = ["Adds a new control host, which replicates the state and does not vote yet."])
 internal class MemberAddCommand : MemberChangeCommand(MemberAction.Add) {
     @Parameters(index = "1", paramLabel = "HOST:PORT", description = ["Link address of the new host."])
     lateinit var linkAddress: String
@@ -45,7 +45,7 @@
     }
 }
 
-@Command(name = "promote", description = ["Lets a control host that has caught up vote."])
+@Command(name = "promote", description = ["Makes a control host that has caught up a voter."])
 internal class MemberPromoteCommand : MemberChangeCommand(MemberAction.Promote)
 
 @Command(name = "remove", description = ["Removes a control host for good; its name is not used again."])
@@ -53,7 +53,7 @@
 
 @Command(
     name = "member",
-    description = ["Changes which control hosts keep the state."],
+    description = ["Changes the members of the control group."],
     subcommands = [MemberAddCommand::class, MemberPromoteCommand::class, MemberRemoveCommand::class],
 )
 internal class MemberCommand
--- a/ctl/src/main/kotlin/io/carawaytrack/ctl/Session.kt
+++ b/ctl/src/main/kotlin/io/carawaytrack/ctl/Session.kt
@@ -1,6 +1,6 @@
 /*
- * What every command works with: the options that all of them share, the outside world, and the printing of reports
- * as text or JSON.
+ * Common parts of all commands: the shared options, access to control and to the process's environment, and the
+ * printing of reports as text or JSON.
  */
 package io.carawaytrack.ctl
 
@@ -19,21 +19,21 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** Environment variable that stands in for `--control`. */
+/** Environment variable that is used when `--control` is not given. */
 internal const val CONTROL_VARIABLE = "CARAWAYCTL_CONTROL"
 
-/** Environment variable that stands in for `--token-file`. */
+/** Environment variable that is used when `--token-file` is not given. */
 internal const val TOKEN_FILE_VARIABLE = "CARAWAYCTL_TOKEN_FILE"
 
-private val hostForm = Regex("[A-Za-z0-9.-]+")
+private val hostPattern = Regex("[A-Za-z0-9.-]+")
 
-/** Names how reports are printed. */
-internal enum class OutputForm { Text, Json }
+/** Lists the formats in which reports are printed. */
+internal enum class OutputFormat { Text, Json }
 
-/** Reaches the outside world. */
-internal class Surroundings(
+/** Provides access to control, environment variables and standard streams, which tests replace. */
+internal class CommandContext(
     val transport: AdminTransport,
-    val environment: (String) -> String?,
+    val environmentVariable: (String) -> String?,
     val readInput: () -> String,
     val newOperationId: () -> String,
     val printOut: (String) -> Unit,
@@ -66,7 +66,7 @@
         scope = ScopeType.INHERIT,
         description = ["text or json; json prints one object to the standard output, errors too."],
     )
-    var output: OutputForm = OutputForm.Text
+    var output: OutputFormat = OutputFormat.Text
 
     @Option(
         names = ["--timeout-millis"],
@@ -78,24 +78,24 @@
     var timeoutMillis: Long = 0
 }
 
-/** Holds what a command has to say, in both forms. */
+/** Holds the result of a command as text and as JSON. */
 internal class Report(
     val text: String,
     val json: String,
     val exit: ExitCode = ExitCode.Done,
 )
 
-/** Creates a report whose JSON form is [value]. */
+/** Creates a report with [value] encoded as its JSON. */
 internal inline fun <reified T> Report(
     value: T,
     text: String,
     exit: ExitCode = ExitCode.Done,
 ): Report = Report(text, reportJson.encodeToString(value), exit)
 
-/** Writes reports; defaults are written too, so that scripts find every field. */
+/** Encodes reports; default values are included, so that scripts find every field. */
 internal val reportJson = Json { encodeDefaults = true }
 
-/** Reports an error in JSON. */
+/** Describes an error in JSON output. */
 @Serializable
 internal data class ErrorReport(
     val exitCode: Int,
@@ -104,69 +104,75 @@
     val faults: List<Fault> = emptyList(),
 )
 
-/** Carries one run of carawayctl. */
+/** Holds the options and the context of one run of carawayctl. */
 internal class Session(
     private val options: SharedOptions,
-    val surroundings: Surroundings,
+    val context: CommandContext,
 ) {
-    /** Creates the client that the options describe. */
+    /** Creates a client from the options. */
     fun client(): Result<AdminClient, CtlError> {
         val addresses = addresses().getOrElse { return Err(it) }
         val token = token().getOrElse { return Err(it) }
         if (options.timeoutMillis <=
             0
         ) {
-            return usage("--timeout-millis: expected a number above 0, got ${options.timeoutMillis}")
+            return usageError("--timeout-millis: expected a number above 0, got ${options.timeoutMillis}")
         }
-        return Ok(AdminClient(AdminSettings(addresses, token, options.timeoutMillis), surroundings.transport))
+        return Ok(AdminClient(AdminSettings(addresses, token, options.timeoutMillis), context.transport))
     }
 
-    /** Prints [report] in the form that the options ask for. */
+    /** Prints [report] in the format that `--output` selects. */
     fun show(report: Report) {
-        surroundings.printOut(if (options.output == OutputForm.Json) report.json else report.text)
+        context.printOut(if (options.output == OutputFormat.Json) report.json else report.text)
     }
 
     /** Prints [error]: as JSON to the standard output, as text to the standard error. */
     fun show(error: CtlError) {
-        if (options.output == OutputForm.Json) {
-            surroundings.printOut(reportJson.encodeToString(error.toReport()))
+        if (options.output == OutputFormat.Json) {
+            context.printOut(reportJson.encodeToString(error.toReport()))
             return
         }
-        (error as? CtlError.FaultyTables)?.faults?.forEach { surroundings.printError(it.toString()) }
-        surroundings.printError("carawayctl: ${error.message}")
+        (error as? CtlError.FaultyTables)?.faults?.forEach { context.printError(it.toString()) }
+        context.printError("carawayctl: ${error.message}")
     }
 
     private fun addresses(): Result<List<HostPort>, CtlError> {
-        val fromEnvironment = surroundings.environment(CONTROL_VARIABLE)?.split(',').orEmpty()
+        val fromEnvironment = context.environmentVariable(CONTROL_VARIABLE)?.split(',').orEmpty()
         val texts = options.control.ifEmpty { fromEnvironment }
-        val addresses = texts.mapNotNull { HostPort.parse(it.trim()) }.filter { hostForm.matches(it.host) }
-        val sound = addresses.isNotEmpty() && addresses.size == texts.size
-        return if (sound) {
+        val addresses = texts.mapNotNull { HostPort.parse(it.trim()) }.filter { hostPattern.matches(it.host) }
+        val valid = addresses.isNotEmpty() && addresses.size == texts.size
+        return if (valid) {
             Ok(
                 addresses,
             )
         } else {
-            usage("--control or $CONTROL_VARIABLE: expected host:port[,host:port...], got $texts")
+            usageError("--control or $CONTROL_VARIABLE: expected host:port[,host:port...], got $texts")
         }
     }
 
     private fun token(): Result<String, CtlError> {
         val file =
             options.tokenFile
-                ?: surroundings.environment(TOKEN_FILE_VARIABLE)?.let(Path::of)
-                ?: return usage("--token-file or $TOKEN_FILE_VARIABLE: expected a file that holds the operator's token")
+                ?: context.environmentVariable(TOKEN_FILE_VARIABLE)?.let(Path::of)
+                ?: return usageError(
+                    "--token-file or $TOKEN_FILE_VARIABLE: expected a file that holds the operator's token",
+                )
         val token =
             try {
                 Files.readString(file).trim()
             } catch (e: IOException) {
-                return usage("--token-file: expected a readable file, got $e")
+                return usageError("--token-file: expected a readable file, got $e")
             }
-        return if (token.isEmpty()) usage("--token-file: expected a token in $file, got an empty file") else Ok(token)
+        return if (token.isEmpty()) {
+            usageError("--token-file: expected a token in $file, got an empty file")
+        } else {
+            Ok(token)
+        }
     }
 }
 
-/** Creates an error of the command line. */
-internal fun usage(message: String): Result<Nothing, CtlError> = Err(CtlError.Usage(message))
+/** Returns a usage error. */
+internal fun usageError(message: String): Result<Nothing, CtlError> = Err(CtlError.Usage(message))
 
 private fun CtlError.toReport() = ErrorReport(
     exitCode = exit.code,
--- a/ctl/src/main/kotlin/io/carawaytrack/ctl/Views.kt
+++ b/ctl/src/main/kotlin/io/carawaytrack/ctl/Views.kt
@@ -1,5 +1,5 @@
 /*
- * The text forms of what control answers.
+ * Text output of what control answers.
  */
 package io.carawaytrack.ctl
 
@@ -14,7 +14,7 @@
 import io.carawaytrack.model.VersionState
 import java.time.Instant
 
-/** Renders rows in columns as wide as their widest cell; empty when there are none. */
+/** Renders rows in columns as wide as their widest cell; returns an empty string when there are no rows. */
 internal fun columns(
     header: List<String>,
     rows: List<List<String>>,
@@ -27,17 +27,17 @@
     }
 }
 
-/** Returns the holders that do not have configuration [number] yet. */
+/** Returns the holders whose configuration is older than [number]. */
 internal fun List<HolderStatus>.behind(number: Long): List<HolderStatus> = filter { it.configurationNumber < number }
 
-/** Renders who is behind as one line, or as nobody. */
+/** Renders the processes that are behind as one line, `nobody` when there are none. */
 internal fun behindText(behind: List<HolderStatus>): String = behind
     .joinToString { "${it.node} (${it.zone}) at ${it.configurationNumber}, last heard ${it.ageMillis} ms ago" }
     .ifEmpty { "nobody" }
 
-/** Renders what is in force, where, and what serves; parts without rows are left out. */
+/** Renders the status as one paragraph per topic; topics without rows are omitted. */
 internal fun statusText(status: StatusReport): String = paragraphs(
-    headText(status),
+    summaryText(status),
     controlText(status),
     zonesText(status),
     versionsText(status),
@@ -47,7 +47,7 @@
 
 private fun paragraphs(vararg texts: String): String = texts.filter(String::isNotEmpty).joinToString("\n\n")
 
-private fun headText(status: StatusReport): String {
+private fun summaryText(status: StatusReport): String {
     val behind = status.holders.behind(status.configurationNumber)
     val current = status.holders.size - behind.size
     return listOf(
@@ -123,7 +123,7 @@
     rollouts.map { listOf(it.name, "${it.pool}", "${it.from}", "${it.to}", "${it.percent}", "${it.phase}") },
 )
 
-/** Renders accepted changes, one a row. */
+/** Renders accepted changes, one per row. */
 internal fun historyText(entries: List<HistoryEntry>): String = columns(
     listOf("NUMBER", "AT", "OPERATOR", "CHANGE"),
     entries.map { entry ->
@@ -136,7 +136,7 @@
     },
 )
 
-/** Renders a change in the words of the command that asks for it. */
+/** Renders a change in one line that resembles the command that makes it. */
 internal fun changeText(change: ConfigurationChange): String = when (change) {
     is ConfigurationChange.ApplyTables ->
         with(
@@ -151,7 +151,7 @@
     is ConfigurationChange.RollbackTo -> "rollback ${change.number}"
 }
 
-/** Renders bills, one a row, with their sum. */
+/** Renders bills, one per row, and their sum. */
 internal fun billsText(bills: List<Bill>): String {
     val rows =
         bills.map { bill ->
@@ -168,7 +168,7 @@
     return paragraphs(columns(header, rows), "bills: ${bills.size}, cost: ${bills.sumOf { it.cost }}")
 }
 
-/** Renders the tables that are in force, row by row. */
+/** Renders the tables in force, row by row. */
 internal fun configurationText(configuration: Configuration): String = paragraphs(
     "configuration ${configuration.number}",
     organisationsText(configuration),
--- a/ctl/src/main/kotlin/io/carawaytrack/ctl/Warnings.kt
+++ b/ctl/src/main/kotlin/io/carawaytrack/ctl/Warnings.kt
@@ -1,6 +1,7 @@
 /*
- * What an accepted change does that its operator may not have meant. Control accepts names that nothing bears at the
- * moment, because a zone may be taken out before its first process starts; a slip in a name looks the same.
+ * Warnings about effects of an accepted change that its operator may not have intended. Control accepts names that no
+ * process or upstream has at the moment, because a zone may be taken out before its first process starts; a misspelt
+ * name looks the same.
  */
 package io.carawaytrack.ctl
 
@@ -12,10 +13,10 @@
 import io.carawaytrack.tables.checkVersionStates
 import kotlinx.coroutines.withTimeoutOrNull
 
-/** Longest time spent on warnings, in milliseconds. */
+/** Time limit for collecting warnings. */
 private const val WARNINGS_TIMEOUT_MILLIS = 1_000L
 
-/** Returns warnings about the accepted [change], none when control does not answer in time. */
+/** Returns warnings about the accepted [change]; empty when control does not answer in time. */
 internal suspend fun AdminClient.warningsAbout(change: ConfigurationChange): List<String> =
     withTimeoutOrNull(WARNINGS_TIMEOUT_MILLIS) { unknownNames(change) + unservedRoutes(change) }.orEmpty()
 
--- a/ctl/src/test/kotlin/io/carawaytrack/ctl/CarawayctlTest.kt
+++ b/ctl/src/test/kotlin/io/carawaytrack/ctl/CarawayctlTest.kt
@@ -1,5 +1,5 @@
 /*
- * Command lines as operators type them: what each asks of control, and how it ends.
+ * Command lines as operators type them: the requests that each sends to control, its output and its exit code.
  */
 package io.carawaytrack.ctl
 
@@ -81,7 +81,7 @@
         "member remove c1" to """{"action":"Remove","node":"c1"}""",
     )
 
-private const val UNSERVED =
+private const val UNSERVED_ROUTE =
     """{"number":7,"versionStates":{"quill@1":"Withdrawn"},"tables":{
     "organisations":[{"name":"north","keySha256":[],"allows":["*@*"]}],
     "routes":[{"name":"draft","kind":"Model","methods":[],"pathPrefix":"/","organisations":["*"],"pool":"drafts"}],
@@ -90,7 +90,7 @@
 private val finalKinds =
     listOf(ErrorKind.VersionConflict, ErrorKind.Unauthorized, ErrorKind.InvalidTables, ErrorKind.NotFound)
 
-private val wrongCommandLines =
+private val invalidCommandLines =
     listOf(
         "" to "expected one of the commands check",
         "zone" to "expected one of the commands out, in",
@@ -129,7 +129,7 @@
     }
 
     @TestFactory
-    fun `each change is asked for once, with its operation id, base number and token`(): List<DynamicTest> =
+    fun `each change is sent once, with its operation id, base number and token`(): List<DynamicTest> =
         changeCases.map { (line, change) ->
             dynamicTest(line) {
                 runTest {
@@ -147,7 +147,7 @@
         }
 
     @TestFactory
-    fun `each view asks its path, and prints with json what control answered`(): List<DynamicTest> =
+    fun `each view requests its path and prints the answer of control as JSON`(): List<DynamicTest> =
         viewCases.map { (line, path, body) ->
             dynamicTest(line) {
                 runTest {
@@ -163,8 +163,8 @@
         }
 
     @TestFactory
-    fun `a wrong command line ends with the exit code for usage and asks control nothing`(): List<DynamicTest> =
-        wrongCommandLines.map { (line, message) ->
+    fun `an invalid command line exits with the usage code and sends nothing to control`(): List<DynamicTest> =
+        invalidCommandLines.map { (line, message) ->
             dynamicTest("'$line'") {
                 runTest {
                     val control = fakeControl(folder, { answer(ACCEPTED) })
@@ -176,13 +176,13 @@
         }
 
     @Test
-    fun `a host that does not lead, is cut off or has no quorum is passed over, with the same operation id`() =
+    fun `a change is retried with the same operation id when a host does not lead, fails or does not answer`() =
         runTest {
             val control =
                 fakeControl(
                     folder,
                     { refusal(ErrorKind.NotLeader) },
-                    { cut() },
+                    { connectionRefused() },
                     { refusal(ErrorKind.StorageFailed) },
                     { awaitCancellation() },
                     { answer("""{"number":7,"repeated":true}""") },
@@ -197,14 +197,14 @@
         }
 
     @TestFactory
-    fun `unreachable control ends the run within its bound and says how to send a change again`(): List<DynamicTest> =
+    fun `unreachable control ends a command within its timeout and says how to retry the change`(): List<DynamicTest> =
         listOf<Pair<String, Answer>>(
             "no answer within 2000 ms" to { awaitCancellation() },
-            "connection refused" to { cut() },
+            "connection refused" to { connectionRefused() },
             "NotLeader: this control host does not lead" to { refusal(ErrorKind.NotLeader) },
             "Internal: an unexpected condition occurred" to { refusal(ErrorKind.Internal, Execution.MayHaveRun) },
-            "answered 502 without a failure that can be read" to { Ok(AdminResponse(502, "<html>")) },
-            "answered 200 with a body that is none" to { answer("{}") },
+            "answered 502 without a failure that can be decoded" to { Ok(AdminResponse(502, "<html>")) },
+            "answered 200 with a body that cannot be decoded" to { answer("{}") },
         ).map { (reason, answer) ->
             dynamicTest(reason) {
                 runTest {
@@ -220,14 +220,14 @@
         }
 
     @Test
-    fun `a short timeout is divided, so that each host is asked`() = runTest {
+    fun `a short timeout is divided so that each host is tried`() = runTest {
         val control = fakeControl(folder, { awaitCancellation() })
         expectThat(control.run("status", "--timeout-millis", "1000")).isEqualTo(ExitCode.Unreachable)
         expectThat(control.requests.map { it.address.port }).containsExactly(1, 2)
     }
 
     @TestFactory
-    fun `a refusal is final and told with its kind`(): List<DynamicTest> = finalKinds.map { kind ->
+    fun `a refusal is final and reported with its kind`(): List<DynamicTest> = finalKinds.map { kind ->
         dynamicTest(kind.name) {
             runTest {
                 val control = fakeControl(folder, { refusal(kind) })
@@ -242,30 +242,36 @@
     }
 
     @Test
-    fun `waiting ends as soon as every process has the change`() = runTest {
+    fun `waiting ends as soon as every process holds the change`() = runTest {
         val control =
-            fakeControl(folder, { answer(ACCEPTED) }, { statusAnswer(6, 7) }, { cut() }, { statusAnswer(7, 8) })
+            fakeControl(
+                folder,
+                { answer(ACCEPTED) },
+                { statusAnswer(6, 7) },
+                { connectionRefused() },
+                { statusAnswer(7, 8) },
+            )
         expectThat(control.run("zone", "out", "north", "--wait")).isEqualTo(ExitCode.Done)
         expectThat(control.out).containsExactly("configuration 7, in force everywhere")
         expectThat(currentTime).isLessThanOrEqualTo(1_000)
     }
 
     @TestFactory
-    fun `waiting fails after the bound and says who is behind or why it is not known`(): List<DynamicTest> {
+    fun `waiting times out and reports the processes that are behind or the failed poll`(): List<DynamicTest> {
         val cases =
             listOf<Pair<String, Answer>>(
                 "entry-2 (north) at 6, last heard 40 ms ago" to { statusAnswer(7, 6) },
                 "no status within 5000 ms" to { awaitCancellation() },
                 "refused: Unauthorized: a valid operator token is required" to { refusal(ErrorKind.Unauthorized) },
             )
-        return cases.map { (told, status) ->
-            dynamicTest(told) {
+        return cases.map { (reason, status) ->
+            dynamicTest(reason) {
                 runTest {
                     val control = fakeControl(folder, { answer(ACCEPTED) }, status)
                     expectThat(control.run("zone", "out", "north", "--wait")).isEqualTo(ExitCode.NotInForce)
                     expectThat(
                         control.out,
-                    ).containsExactly("configuration 7, not in force everywhere after 5000 ms; $told")
+                    ).containsExactly("configuration 7, not in force everywhere after 5000 ms; $reason")
                     expectThat(currentTime).isEqualTo(IN_FORCE_BOUND_MILLIS)
                 }
             }
@@ -273,26 +279,26 @@
     }
 
     @TestFactory
-    fun `an accepted change that names nothing known or leaves a route unserved is warned of`(): List<DynamicTest> =
-        listOf(
-            "zone out south" to "no process is in zone south",
-            "upstream in u-9" to "no upstream u-9 is announced",
-            "version drain quill@1" to "no upstream serves quill@1",
-            "version withdraw quill@1" to
-                "a route is left without an allowed serving version: routes:0: route[0].organisations[0] = *: " +
-                "expected an organisation that allows one of: (no version is serving)",
-        ).map { (line, warning) ->
-            dynamicTest(line) {
-                runTest {
-                    val control = fakeControl(folder, { answer(ACCEPTED) }, { statusAnswer(7) }, { answer(UNSERVED) })
-                    expectThat(control.run(*words(line))).isEqualTo(ExitCode.Done)
-                    expectThat(control.out.single().lines()).contains("warning: $warning")
-                }
+    fun `an accepted change with an unknown name or an unserved route prints a warning`(): List<DynamicTest> = listOf(
+        "zone out south" to "no process is in zone south",
+        "upstream in u-9" to "no upstream u-9 is announced",
+        "version drain quill@1" to "no upstream serves quill@1",
+        "version withdraw quill@1" to
+            "a route is left without an allowed serving version: routes:0: route[0].organisations[0] = *: " +
+            "expected an organisation that allows one of: (no version is serving)",
+    ).map { (line, warning) ->
+        dynamicTest(line) {
+            runTest {
+                val control =
+                    fakeControl(folder, { answer(ACCEPTED) }, { statusAnswer(7) }, { answer(UNSERVED_ROUTE) })
+                expectThat(control.run(*words(line))).isEqualTo(ExitCode.Done)
+                expectThat(control.out.single().lines()).contains("warning: $warning")
             }
         }
+    }
 
     @Test
-    fun `top shows the status as often as asked, with a pause between`() = runTest {
+    fun `top shows the status as many times as requested, with a pause between`() = runTest {
         val control = fakeControl(folder, { statusAnswer(7) })
         expectThat(control.run("top", "--refreshes", "3", "--interval-millis", "400")).isEqualTo(ExitCode.Done)
         expectThat(control.out.size).isEqualTo(3)
@@ -301,14 +307,14 @@
 
     @Test
     fun `a key's digest is that of its text without the line break`() = runTest {
-        val control = fakeControl(folder, { cut() }, input = "abc\n")
+        val control = fakeControl(folder, { connectionRefused() }, input = "abc\n")
         expectThat(control.run("key-digest")).isEqualTo(ExitCode.Done)
         expectThat(control.out)
             .containsExactly("ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad")
     }
 
     @TestFactory
-    fun `help, version and completion need no control`(): List<DynamicTest> = listOf(
+    fun `help, version and completion send nothing to control`(): List<DynamicTest> = listOf(
         "--help" to "Usage: carawayctl",
         "rollout start --help" to "Usage: carawayctl rollout start",
         "--version" to "carawayctl 0.1.0",
--- a/ctl/src/test/kotlin/io/carawaytrack/ctl/ExplainTest.kt
+++ b/ctl/src/test/kotlin/io/carawaytrack/ctl/ExplainTest.kt
@@ -1,5 +1,5 @@
 /*
- * Logs of hosts, and what `carawayctl explain` makes of them.
+ * Logs of hosts, and the timeline that `carawayctl explain` builds from them.
  */
 package io.carawaytrack.ctl
 
@@ -36,12 +36,12 @@
         vararg fields: Pair<String, String>,
     ) = line(second, "host-1", event, "requestId" to ID, *fields)
 
-    private fun told(vararg lines: String) = explain(ID, lines.asSequence())
+    private fun timelineOf(vararg lines: String) = explain(ID, lines.asSequence())
 
     @Test
-    fun `a story has the request's lines and what changed on its host and upstream, in order`() {
-        val story =
-            told(
+    fun `a timeline has the request's lines and the events of its host and upstream, in order`() {
+        val timeline =
+            timelineOf(
                 own(9, "request_ended", "status" to "502"),
                 own(7, "attempt_failed", "upstream" to "u1"),
                 line(1, "host-1", "view_adopted", "index" to "4"),
@@ -51,7 +51,7 @@
                 line(6, "host-2", "peer_lost"),
                 own(5, "request_placed", "upstream" to "u1"),
             )
-        expectThat(story.lines.map { it.event }).isEqualTo(
+        expectThat(timeline.lines.map { it.event }).isEqualTo(
             listOf(
                 "view_adopted",
                 "upstream_changed",
@@ -61,17 +61,17 @@
                 "request_ended",
             ),
         )
-        expectThat(story.missing).isEmpty()
+        expectThat(timeline.missing).isEmpty()
     }
 
     private class Gap(
         val name: String,
         val lines: List<String>,
-        val said: String,
+        val expected: String,
     )
 
     @TestFactory
-    fun `what no line says is told with the reason`(): List<DynamicTest> = listOf(
+    fun `what no line reports is listed with the likely reason`(): List<DynamicTest> = listOf(
         Gap("nothing read", emptyList(), "no line of a log was read"),
         Gap("an identifier that no line has", listOf(line(1, "host-1", "started")), "no line carries the identifier"),
         Gap(
@@ -96,13 +96,16 @@
             "no line says when upstream u9 was first known",
         ),
     ).map { gap ->
-        dynamicTest(gap.name) { expectThat(explain(ID, gap.lines.asSequence()).missing).single().contains(gap.said) }
+        dynamicTest(
+            gap.name,
+        ) { expectThat(explain(ID, gap.lines.asSequence()).missing).single().contains(gap.expected) }
     }
 
     @Test
-    fun `lines of other programs and text before a line are passed over`() {
-        val story = told("OpenJDK: warning", "{not json", "  5.1 host-1 " + own(5, "request_ended"), "{\"a\":1}")
-        expectThat(story.lines.map { it.event }).isEqualTo(listOf("request_ended"))
+    fun `lines of other programs and text before a line are ignored`() {
+        val timeline =
+            timelineOf("OpenJDK: warning", "{not json", "  5.1 host-1 " + own(5, "request_ended"), "{\"a\":1}")
+        expectThat(timeline.lines.map { it.event }).isEqualTo(listOf("request_ended"))
     }
 
     @Test
@@ -118,14 +121,14 @@
     }
 
     @Test
-    fun `a log that can't be read is a fault of the command line`() = runTest {
+    fun `an unreadable log is a usage error`() = runTest {
         val exit = runCarawayctl(listOf("explain", ID, "no-such.log"), printing(ArrayList()))
         expectThat(exit).isEqualTo(ExitCode.Usage)
     }
 
-    private fun printing(printed: MutableList<String>) = Surroundings(
-        transport = { error("explain asks nobody") },
-        environment = { null },
+    private fun printing(printed: MutableList<String>) = CommandContext(
+        transport = { error("expected no request from explain, got one") },
+        environmentVariable = { null },
         readInput = { "" },
         newOperationId = { "operation" },
         printOut = { printed += it },
--- a/ctl/src/test/kotlin/io/carawaytrack/ctl/FakeControl.kt
+++ b/ctl/src/test/kotlin/io/carawaytrack/ctl/FakeControl.kt
@@ -1,5 +1,5 @@
 /*
- * Control hosts that answer from a script, and the surroundings of a run against them.
+ * Fake control hosts with scripted answers, and the context of a run against them.
  */
 package io.carawaytrack.ctl
 
@@ -17,30 +17,30 @@
 import java.nio.file.Path
 import kotlin.io.path.writeText
 
-/** Gives one answer of a control host, or hangs. */
-internal typealias Answer = suspend () -> Result<AdminResponse, NoAnswer>
+/** Returns one answer of a control host, or never returns. */
+internal typealias Answer = suspend () -> Result<AdminResponse, NoResponse>
 
 internal const val ACCEPTED = """{"number":7}"""
 
-internal fun answer(body: String): Result<AdminResponse, NoAnswer> = Ok(AdminResponse(200, body))
+internal fun answer(body: String): Result<AdminResponse, NoResponse> = Ok(AdminResponse(200, body))
 
 internal fun refusal(
     kind: ErrorKind,
     execution: Execution = Execution.NotRun,
-): Result<AdminResponse, NoAnswer> =
+): Result<AdminResponse, NoResponse> =
     Ok(AdminResponse(kind.status, adminJson.encodeToString(Failure.serializer(), Failure(kind, execution))))
 
-internal fun cut(): Result<AdminResponse, NoAnswer> = Err(NoAnswer("connection refused"))
+internal fun connectionRefused(): Result<AdminResponse, NoResponse> = Err(NoResponse("connection refused"))
 
-internal fun statusAnswer(vararg held: Long): Result<AdminResponse, NoAnswer> =
-    answer(adminJson.encodeToString(StatusReport.serializer(), statusReport(held.toList())))
+internal fun statusAnswer(vararg heldNumbers: Long): Result<AdminResponse, NoResponse> =
+    answer(adminJson.encodeToString(StatusReport.serializer(), statusReport(heldNumbers.toList())))
 
-internal fun statusReport(held: List<Long>) = StatusReport(
+internal fun statusReport(heldNumbers: List<Long>) = StatusReport(
     configurationNumber = 7,
     leader = NodeId("control-1"),
     control = emptyList(),
     holders =
-        held.mapIndexed { index, number ->
+        heldNumbers.mapIndexed { index, number ->
             HolderStatus(NodeId("entry-${index + 1}"), NodeRole.Entry, ZoneName("north"), number, 40)
         },
     upstreams = emptyList(),
@@ -50,10 +50,10 @@
     rollouts = emptyList(),
 )
 
-/** Runs carawayctl against control hosts that give [answers] in turn, the last one for ever. */
+/** Runs carawayctl against control hosts that give [answers] in turn and then repeat the last one. */
 internal class FakeControl(
     private val answers: List<Answer>,
-    private val environment: Map<String, String> = emptyMap(),
+    private val environmentVariables: Map<String, String> = emptyMap(),
     private val input: String = "",
 ) {
     val requests = mutableListOf<AdminRequest>()
@@ -61,33 +61,33 @@
     val errors = mutableListOf<String>()
 
     suspend fun run(vararg arguments: String): ExitCode {
-        val surroundings =
-            Surroundings(
+        val context =
+            CommandContext(
                 transport = { request ->
                     requests += request
                     answers[minOf(requests.size, answers.size) - 1]()
                 },
-                environment = environment::get,
+                environmentVariable = environmentVariables::get,
                 readInput = { input },
                 newOperationId = { "op-1" },
                 printOut = out::add,
                 printError = errors::add,
             )
-        return runCarawayctl(arguments.toList(), surroundings)
+        return runCarawayctl(arguments.toList(), context)
     }
 }
 
-/** Creates a control that gives [answers] in turn to an operator whose token file is in [folder]. */
+/** Creates control hosts that give [answers] in turn, and an operator whose token file is in [folder]. */
 internal fun fakeControl(
     folder: Path,
     vararg answers: Answer,
     input: String = "",
 ): FakeControl {
     val tokenFile = folder.resolve("token").apply { writeText("secret-token\n") }
-    val environment =
+    val environmentVariables =
         mapOf(
             CONTROL_VARIABLE to "127.0.0.1:1,127.0.0.1:2",
             TOKEN_FILE_VARIABLE to tokenFile.toString(),
         )
-    return FakeControl(answers.toList(), environment, input)
+    return FakeControl(answers.toList(), environmentVariables, input)
 }
--- a/ctl/src/test/kotlin/io/carawaytrack/ctl/HttpTransportTest.kt
+++ b/ctl/src/test/kotlin/io/carawaytrack/ctl/HttpTransportTest.kt
@@ -1,5 +1,5 @@
 /*
- * The transport against an HTTP server on loopback.
+ * Checks the HTTP transport against a server on loopback.
  */
 package io.carawaytrack.ctl
 
@@ -20,11 +20,11 @@
         adminHttpClient().use { client -> runBlocking { httpTransport(client)(request) } }
 
     @Test
-    fun `a request carries method, path, token and body, and brings back status and body`() {
+    fun `a request carries method, path, token and body, and returns status and body`() {
         val server = HttpServer.create(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0)
         server.createContext("/") { exchange ->
             val headers = exchange.requestHeaders
-            val seen =
+            val received =
                 listOf(
                     exchange.requestMethod,
                     exchange.requestURI,
@@ -32,8 +32,8 @@
                     headers.getFirst("Content-Type"),
                     exchange.requestBody.readBytes().decodeToString(),
                 ).joinToString(" ").toByteArray()
-            exchange.sendResponseHeaders(421, seen.size.toLong())
-            exchange.responseBody.use { it.write(seen) }
+            exchange.sendResponseHeaders(421, received.size.toLong())
+            exchange.responseBody.use { it.write(received) }
         }
         server.start()
         try {
@@ -46,7 +46,7 @@
     }
 
     @Test
-    fun `a port that nobody listens on is no answer`() {
+    fun `a closed port gives no response`() {
         val closed = HttpServer.create(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0)
         val port = closed.address.port
         closed.stop(0)
--- a/ctl/src/test/kotlin/io/carawaytrack/ctl/ReferencePageTest.kt
+++ b/ctl/src/test/kotlin/io/carawaytrack/ctl/ReferencePageTest.kt
@@ -1,5 +1,5 @@
 /*
- * The reference page of carawayctl, kept equal to the program.
+ * Checks that the reference page of carawayctl matches the program.
  */
 package io.carawaytrack.ctl
 
@@ -19,7 +19,7 @@
     private val root = commandLine().commandSpec
     private val specs = allSpecs(root)
 
-    /** Returns the rows of the table under [heading], without its head. */
+    /** Returns the rows of the table under [heading], without its header. */
     private fun rowsUnder(heading: String): String = page
         .dropWhile { it != heading }
         .drop(1)
@@ -66,7 +66,7 @@
         description().map { it.replace("\${DEFAULT-VALUE}", defaultValue().orEmpty()) }
 
     @TestFactory
-    fun `each table of the page says what the program does`(): List<DynamicTest> = listOf(
+    fun `each table of the page matches the program`(): List<DynamicTest> = listOf(
         "## Commands" to specs.filter { it.subcommands().isEmpty() }.map(::commandRow),
         "## Options" to optionRows(),
         "## Exit codes" to ExitCode.entries.map { "| ${it.code} | ${it.name} | ${it.meaning} |" },
--- a/ctl/src/test/kotlin/io/carawaytrack/ctl/ViewsTest.kt
+++ b/ctl/src/test/kotlin/io/carawaytrack/ctl/ViewsTest.kt
@@ -1,5 +1,5 @@
 /*
- * The text that operators read.
+ * Text output of the commands that show what control answers.
  */
 package io.carawaytrack.ctl
 
@@ -104,7 +104,7 @@
     lateinit var folder: Path
 
     @TestFactory
-    fun `each view prints what control answered as text`(): List<DynamicTest> = viewCases.map { case ->
+    fun `each view prints the answer of control as text`(): List<DynamicTest> = viewCases.map { case ->
         dynamicTest(case.command) {
             runTest {
                 val control = fakeControl(folder, { answer(case.answer) })
