--- a/demo/src/main/kotlin/io/carawaytrack/demo/DemoAddresses.kt
+++ b/demo/src/main/kotlin/io/carawaytrack/demo/DemoAddresses.kt
@@ -1,5 +1,5 @@
 /*
- * Where the processes of the demo listen.
+ * Addresses on which the processes of the demo listen.
  */
 package io.carawaytrack.demo
 
--- a/demo/src/main/kotlin/io/carawaytrack/demo/DemoClient.kt
+++ b/demo/src/main/kotlin/io/carawaytrack/demo/DemoClient.kt
@@ -1,5 +1,5 @@
 /*
- * Calls the demo's processes as a caller, an operator and a load balancer would.
+ * Client of the demo's processes in the roles of a caller, an operator and a load balancer.
  */
 package io.carawaytrack.demo
 
@@ -27,13 +27,13 @@
 import java.nio.file.Path
 import java.util.UUID
 
-private const val POLL_MILLIS = 100L
-private const val WAIT_MILLIS = 60_000L
+private const val POLL_INTERVAL_MILLIS = 100L
+private const val WAIT_TIMEOUT_MILLIS = 60_000L
 
 /**
- * Holds what an entry answered.
+ * Describes the answer of an entry.
  *
- * @property repeated whether the answer was recorded earlier
+ * @property repeated whether the entry returned an answer that was recorded earlier
  */
 public data class CallerAnswer(
     val status: Int,
@@ -44,11 +44,10 @@
     val body: String,
 )
 
-/** Calls a deployment that [planDemo] laid out in [folder]. */
+/** Calls a deployment whose files [planDemo] has written to [folder]. */
 public class DemoClient(
     folder: Path,
 ) : AutoCloseable {
-    /** Addresses of the deployment. */
     public val addresses: DemoAddresses = DemoAddresses.read(folder)
 
     /** Bearer key of the demo's organisation. */
@@ -59,10 +58,10 @@
     private val json = Json { ignoreUnknownKeys = true }
     private val http =
         HttpClient(CIO) {
-            engine { requestTimeout = WAIT_MILLIS }
+            engine { requestTimeout = WAIT_TIMEOUT_MILLIS }
         }
 
-    /** Posts [body] to the entry number [entry]. */
+    /** Posts [body] to the entry with index [entry]. */
     public suspend fun call(
         entry: Int,
         path: String,
@@ -86,13 +85,13 @@
         )
     }
 
-    /** Makes one change; the same operation goes to each control host until the leading one takes it. */
+    /** Submits one change; sends the same operation to the control hosts in turn until the leader accepts it. */
     public suspend fun change(change: ConfigurationChange): Long {
         val request = ChangeRequest(operationId = UUID.randomUUID().toString(), change = change)
         val body = json.encodeToString(ChangeRequest.serializer(), request)
         val answer =
-            untilSome("an accepted change") {
-                administrate { address ->
+            pollUntilNotNull("an accepted change") {
+                callLeader { address ->
                     http.post("http://$address/v1/changes") {
                         header(HttpHeaders.Authorization, "Bearer $operatorToken")
                         setBody(body)
@@ -102,18 +101,18 @@
         return json.decodeFromString<ChangeReply>(answer).number
     }
 
-    /** Returns what the leading control host reports, null when none answers. */
+    /** Returns the status that the leader reports, null when no control host answers. */
     public suspend fun status(): StatusReport? {
         val answer =
-            administrate { address ->
+            callLeader { address ->
                 http.get("http://$address/v1/status") { header(HttpHeaders.Authorization, "Bearer $operatorToken") }
             }
         return answer?.let { json.decodeFromString<StatusReport>(it) }
     }
 
-    private suspend fun administrate(send: suspend (String) -> HttpResponse): String? {
+    private suspend fun callLeader(send: suspend (String) -> HttpResponse): String? {
         addresses.administration.forEach { address ->
-            val response = reached { send(address) }
+            val response = responseOrNull { send(address) }
             if (response != null && response.status.isSuccess()) return response.bodyAsText()
         }
         return null
@@ -123,40 +122,40 @@
     public suspend fun upstreamCounters(upstream: String): String =
         http.get("http://${addresses.upstreams.getValue(upstream)}/counters").bodyAsText()
 
-    /** Returns whether [node] says that it is ready. */
+    /** Returns whether [node] reports that it is ready. */
     public suspend fun ready(node: String): Boolean {
         val address = addresses.observability.getValue(node)
-        return reached { http.get("http://$address/readyz") }?.status?.isSuccess() ?: false
+        return responseOrNull { http.get("http://$address/readyz") }?.status?.isSuccess() ?: false
     }
 
-    private suspend fun reached(send: suspend () -> HttpResponse): HttpResponse? = try {
+    private suspend fun responseOrNull(send: suspend () -> HttpResponse): HttpResponse? = try {
         send()
     } catch (_: IOException) {
         null
     }
 
-    /** Waits until [condition] holds; fails the demo when it does not. */
+    /** Waits until [condition] holds; fails when it does not hold within a minute. */
     public suspend fun until(
-        what: String,
+        expectation: String,
         condition: suspend () -> Boolean,
     ) {
-        untilSome(what) { if (condition()) Unit else null }
+        pollUntilNotNull(expectation) { if (condition()) Unit else null }
     }
 
-    private suspend fun <T : Any> untilSome(
-        what: String,
+    private suspend fun <T : Any> pollUntilNotNull(
+        expectation: String,
         attempt: suspend () -> T?,
     ): T {
-        val found =
-            withTimeoutOrNull(WAIT_MILLIS) {
-                var result = attempt()
-                while (result == null) {
-                    delay(POLL_MILLIS)
-                    result = attempt()
+        val result =
+            withTimeoutOrNull(WAIT_TIMEOUT_MILLIS) {
+                var value = attempt()
+                while (value == null) {
+                    delay(POLL_INTERVAL_MILLIS)
+                    value = attempt()
                 }
-                result
+                value
             }
-        return checkNotNull(found) { "expected $what within $WAIT_MILLIS ms" }
+        return checkNotNull(result) { "expected $expectation within $WAIT_TIMEOUT_MILLIS ms" }
     }
 
     override fun close(): Unit = http.close()
--- a/demo/src/main/kotlin/io/carawaytrack/demo/DemoPlan.kt
+++ b/demo/src/main/kotlin/io/carawaytrack/demo/DemoPlan.kt
@@ -1,6 +1,6 @@
 /*
- * Lays out a small deployment on loopback: free ports, a settings file for each process, the tables, the keys, and the
- * list of processes in the order in which they are started.
+ * Plans a small deployment on loopback: chooses free ports and writes a settings file for each process, the tables, the
+ * keys, and the list of processes in the order in which they are started.
  */
 package io.carawaytrack.demo
 
@@ -26,7 +26,7 @@
  * Describes an upstream of the demo; an engine serves a model, a plain service serves `stock`.
  *
  * @property model model that an engine serves, null for a plain service
- * @property standInOptions further options of the stand-in's command line
+ * @property standInOptions additional command-line options of the stand-in
  */
 public data class DemoUpstream(
     val id: String,
@@ -37,10 +37,10 @@
 )
 
 /**
- * Describes what a deployment consists of beside its three control hosts.
+ * Describes a deployment, apart from its three control hosts.
  *
  * @property entryZones zones of the entries, one entry for each
- * @property entrySettings further lines of each entry's settings file
+ * @property entrySettings additional lines of each entry's settings file
  */
 public data class DemoLayout(
     val upstreams: List<DemoUpstream> = demoUpstreams,
@@ -48,13 +48,16 @@
     val entrySettings: String = "",
 )
 
-/** Names a process and the command that starts it; a name that ends with `-init` runs once, before the others. */
+/**
+ * Describes a process and the command that starts it. A process whose name ends with `-init` runs once, before the
+ * process that it prepares is started.
+ */
 public data class DemoProcess(
     val name: String,
     val command: String,
 )
 
-/** Writes settings, keys and tables into [folder] and returns the processes in the order of their start. */
+/** Writes settings, keys and tables to [folder] and returns the processes in the order in which they are started. */
 public fun planDemo(
     folder: Path,
     layout: DemoLayout = DemoLayout(),
@@ -122,7 +125,7 @@
             } else {
                 "engine --port $port --model ${upstream.model} --version ${upstream.version}"
             }
-        process("standin-${upstream.id}", "caraway-standin $command ${upstream.standInOptions}".trim())
+        addProcess("standin-${upstream.id}", "caraway-standin $command ${upstream.standInOptions}".trim())
     }
 
     private fun planControl(
@@ -148,8 +151,8 @@
             |demo = "${digestOf(OPERATOR_TOKEN_FILE)}"
             """.trimMargin()
         val file = settingsFile(node, zone, settings)
-        process("$node-init", "caraway-control init --settings $file")
-        process(node, "caraway-control run --settings $file")
+        addProcess("$node-init", "caraway-control init --settings $file")
+        addProcess(node, "caraway-control run --settings $file")
     }
 
     private fun planAgent(upstream: DemoUpstream) {
@@ -166,7 +169,7 @@
             |address = "${addresses.upstreams[upstream.id]}"
             |versions = ["$versions"]
             """.trimMargin()
-        process(node, "caraway-agent --settings ${settingsFile(node, upstream.zone, settings)}")
+        addProcess(node, "caraway-agent --settings ${settingsFile(node, upstream.zone, settings)}")
     }
 
     private fun planEntry(
@@ -181,7 +184,7 @@
             |control_addresses = [${controlList()}]
             |${layout.entrySettings}
             """.trimMargin()
-        process(node, "caraway-entry --settings ${settingsFile(node, zone, settings)}")
+        addProcess(node, "caraway-entry --settings ${settingsFile(node, zone, settings)}")
     }
 
     private fun controlList() = controlLinks.joinToString { (_, port) -> "\"$LOOPBACK:$port\"" }
@@ -207,7 +210,7 @@
         return file
     }
 
-    private fun process(
+    private fun addProcess(
         name: String,
         command: String,
     ) {
@@ -215,15 +218,15 @@
     }
 }
 
-/** Holds free ports open until all have been chosen, so that none is handed out twice. */
+/** Keeps chosen ports bound until all have been chosen, so that none is chosen twice. */
 private class FreePorts {
-    private val held = mutableListOf<ServerSocket>()
+    private val sockets = mutableListOf<ServerSocket>()
 
     fun next(): Int {
         val socket = ServerSocket(0, 1, InetAddress.getByName(LOOPBACK))
-        held += socket
+        sockets += socket
         return socket.localPort
     }
 
-    fun release(): Unit = held.forEach(ServerSocket::close)
+    fun release(): Unit = sockets.forEach(ServerSocket::close)
 }
--- a/demo/src/main/kotlin/io/carawaytrack/demo/DemoRun.kt
+++ b/demo/src/main/kotlin/io/carawaytrack/demo/DemoRun.kt
@@ -1,5 +1,5 @@
 /*
- * The story of the demo: what a caller and an operator do, and what must come of it.
+ * Scenario of the demo: the actions of a caller and an operator, and checks of their results.
  */
 package io.carawaytrack.demo
 
@@ -17,13 +17,13 @@
 import java.nio.file.Path
 import java.util.UUID
 
-private const val REQUESTS_WHILE_ZONE_OUT = 10
+private const val REQUESTS_PER_ZONE_CHECK = 10
 private const val OK = 200
-private const val TAKEN_ZONE = "zone-1"
+private const val DISABLED_ZONE = "zone-1"
 private const val CHAT_PATH = "/v1/chat/completions"
 
-private val servicesInOrder = listOf("stock-a", "stock-b")
-private val upstreamsInTakenZone = setOf("quill-small-a", "stock-a")
+private val services = listOf("stock-a", "stock-b")
+private val upstreamsInDisabledZone = setOf("quill-small-a", "stock-a")
 
 internal class DemoRun(
     private val folder: Path,
@@ -35,8 +35,8 @@
         chat()
         streamedSession()
         reservation()
-        moveZone()
-        spans()
+        disableAndEnableZone()
+        checkSpans()
     }
 
     private suspend fun awaitReady() {
@@ -44,7 +44,7 @@
         client.until("every upstream announced") {
             client.status()?.upstreams?.size == client.addresses.upstreams.size
         }
-        say("control leads, ${client.addresses.upstreams.size} upstreams have announced themselves")
+        printLine("control leads, ${client.addresses.upstreams.size} upstreams have announced themselves")
     }
 
     private suspend fun applyTables() {
@@ -54,7 +54,7 @@
             }
         changeEverywhere(ConfigurationChange.ApplyTables(tables))
         client.until("ready entries") { client.ready("entry-1") && client.ready("entry-2") }
-        say("tables in force everywhere")
+        printLine("tables in force everywhere")
     }
 
     private suspend fun changeEverywhere(change: ConfigurationChange) {
@@ -70,7 +70,7 @@
         check(answer.status == OK) { "expected a chat answer with status $OK, got ${answer.status}: ${answer.body}" }
         val choices = Json.parseToJsonElement(answer.body).jsonObject["choices"] as? JsonArray
         check(!choices.isNullOrEmpty()) { "expected choices in the answer, got ${answer.body}" }
-        say("chat ${answer.requestId} served by ${answer.version} on ${answer.upstream}")
+        printLine("chat ${answer.requestId} served by ${answer.version} on ${answer.upstream}")
     }
 
     private suspend fun streamedSession() {
@@ -79,8 +79,10 @@
             List(2) { entry ->
                 val answer = client.call(entry, CHAT_PATH, chatBody(stream = true), session)
                 check(answer.status == OK) { "expected a stream, got ${answer.status}: ${answer.body}" }
-                check(answer.body.trim().endsWith("data: [DONE]")) { "expected a whole stream, got ${answer.body}" }
-                say("draft ${answer.requestId} streamed by ${answer.version} on ${answer.upstream}")
+                check(answer.body.trim().endsWith("data: [DONE]")) {
+                    "expected a stream that ends with data: [DONE], got ${answer.body}"
+                }
+                printLine("draft ${answer.requestId} streamed by ${answer.version} on ${answer.upstream}")
                 answer.version
             }
         check(versions.distinct().size == 1) { "expected one version for the session, got $versions" }
@@ -90,15 +92,15 @@
         val key = mapOf("Idempotency-Key" to UUID.randomUUID().toString())
         val before = reservations()
         val answers = List(2) { entry -> client.call(entry, "/stock/reservations", RESERVATION, key) }
-        check(answers.all { it.status / HUNDRED == 2 }) { "expected two accepted reservations, got $answers" }
+        check(answers.all { it.status / STATUS_CLASS_SIZE == 2 }) { "expected two accepted reservations, got $answers" }
         check(answers[0].body == answers[1].body) { "expected the same reservation twice, got $answers" }
-        check(answers[1].repeated) { "expected the second answer to be a repeat, got ${answers[1]}" }
-        val made = reservations() - before
-        check(made == 1) { "expected one reservation, got $made" }
-        say("reservation ${answers[0].requestId} sent twice ran once, on ${answers[0].upstream}")
+        check(answers[1].repeated) { "expected the second answer to be the recorded one, got ${answers[1]}" }
+        val startedCount = reservations() - before
+        check(startedCount == 1) { "expected one reservation, got $startedCount" }
+        printLine("reservation ${answers[0].requestId} sent twice ran once, on ${answers[0].upstream}")
     }
 
-    private suspend fun reservations(): Int = servicesInOrder.sumOf { upstream ->
+    private suspend fun reservations(): Int = services.sumOf { upstream ->
         val counters = Json.parseToJsonElement(client.upstreamCounters(upstream)).jsonObject
         counters.started()
     }
@@ -109,28 +111,28 @@
         ?.jsonPrimitive
         ?.int ?: 0
 
-    private suspend fun moveZone() {
-        changeEverywhere(ConfigurationChange.SetZone(ZoneName(TAKEN_ZONE), inService = false))
-        val used = serveSome()
-        check(used.none { it in upstreamsInTakenZone }) { "expected nothing from $TAKEN_ZONE, got $used" }
-        say("$TAKEN_ZONE is out; ${used.size} requests served by ${used.distinct().sorted()}")
-        changeEverywhere(ConfigurationChange.SetZone(ZoneName(TAKEN_ZONE), inService = true))
-        client.until("work in $TAKEN_ZONE again") { serveSome().any { it in upstreamsInTakenZone } }
-        say("$TAKEN_ZONE is back and receives work")
+    private suspend fun disableAndEnableZone() {
+        changeEverywhere(ConfigurationChange.SetZone(ZoneName(DISABLED_ZONE), inService = false))
+        val used = sendChats()
+        check(used.none { it in upstreamsInDisabledZone }) { "expected nothing from $DISABLED_ZONE, got $used" }
+        printLine("$DISABLED_ZONE is out; ${used.size} requests served by ${used.distinct().sorted()}")
+        changeEverywhere(ConfigurationChange.SetZone(ZoneName(DISABLED_ZONE), inService = true))
+        client.until("work in $DISABLED_ZONE again") { sendChats().any { it in upstreamsInDisabledZone } }
+        printLine("$DISABLED_ZONE is back and receives work")
     }
 
-    private suspend fun serveSome(): List<String> = List(REQUESTS_WHILE_ZONE_OUT) { index ->
+    private suspend fun sendChats(): List<String> = List(REQUESTS_PER_ZONE_CHECK) { index ->
         val answer = client.call(index % 2, CHAT_PATH, chatBody(stream = false))
         check(answer.status == OK) { "expected status $OK, got ${answer.status}: ${answer.body}" }
         answer.upstream.orEmpty()
     }
 
     /** Waits until the spans of an entry and of an agent show the same trace; they are written in the background. */
-    private suspend fun spans() {
+    private suspend fun checkSpans() {
         client.until("a trace through an entry and an agent") {
             traces("entry-").intersect(traces("agent-")).isNotEmpty()
         }
-        say("spans of entries and agents share their traces")
+        printLine("spans of entries and agents share their traces")
     }
 
     private fun traces(nodePrefix: String): Set<String> = client.addresses.observability.keys
@@ -141,12 +143,12 @@
         .mapNotNull { line -> traceId.find(line)?.value }
         .toSet()
 
-    private fun say(line: String): Unit = println(line)
+    private fun printLine(line: String): Unit = println(line)
 }
 
-private const val HUNDRED = 100
+private const val STATUS_CLASS_SIZE = 100
 
-/** Finds the trace of a span also in a last line that is still being written. */
+/** Matches the trace id of a span, also in a last line that is still being written. */
 private val traceId = Regex(""""traceId":"[0-9a-f]{32}"""")
 private const val RESERVATION = """{"item":"drawer-rail","quantity":1}"""
 
--- a/demo/src/main/kotlin/io/carawaytrack/demo/Main.kt
+++ b/demo/src/main/kotlin/io/carawaytrack/demo/Main.kt
@@ -1,6 +1,6 @@
 /*
- * The program behind `bin/caraway-demo`: `plan` lays out the deployment, `run` plays the story against it. The script
- * starts and stops the processes.
+ * Main function of the client that `bin/caraway-demo` calls: `plan` writes the files of the deployment, `run` runs the
+ * demo scenario against it. The script starts and stops the processes.
  */
 package io.carawaytrack.demo
 
@@ -12,19 +12,19 @@
 import java.util.concurrent.Callable
 import kotlin.system.exitProcess
 
-/** Starts the demo's client from the command line. */
-@Suppress("SpreadOperator") // picocli takes its arguments in no other form
+/** Runs the demo's client and exits with the code of its outcome. */
+@Suppress("SpreadOperator") // picocli accepts its arguments only as varargs
 public fun main(arguments: Array<String>): Unit = exitProcess(CommandLine(DemoCommand()).execute(*arguments))
 
 @Command(
     name = "caraway-demo-client",
     mixinStandardHelpOptions = true,
-    description = ["Plans and plays the demo."],
-    subcommands = [PlanCommand::class, PlayCommand::class],
+    description = ["Plans and runs the demo."],
+    subcommands = [PlanCommand::class, RunCommand::class],
 )
 private class DemoCommand
 
-@Command(name = "plan", description = ["Writes settings, tables and the list of processes into a folder."])
+@Command(name = "plan", description = ["Writes settings, tables and the list of processes to a folder."])
 private class PlanCommand : Callable<Int> {
     @Option(names = ["--folder"], required = true)
     private lateinit var folder: Path
@@ -35,8 +35,8 @@
     }
 }
 
-@Command(name = "run", description = ["Plays the story against the running processes."])
-private class PlayCommand : Callable<Int> {
+@Command(name = "run", description = ["Runs the demo scenario against the running processes."])
+private class RunCommand : Callable<Int> {
     @Option(names = ["--folder"], required = true)
     private lateinit var folder: Path
 
