--- a/e2e/src/test/kotlin/io/carawaytrack/e2e/BadInputsTest.kt
+++ b/e2e/src/test/kotlin/io/carawaytrack/e2e/BadInputsTest.kt
@@ -1,5 +1,6 @@
 /*
- * What comes in wrong at a real port or from a real settings file: it is refused truthfully and harms nobody else.
+ * Invalid input at a real port or in a real settings file is refused with an accurate error and does not affect other
+ * requests.
  */
 package io.carawaytrack.e2e
 
@@ -34,51 +35,55 @@
 internal class BadInputsTest(
     private val deployment: Deployment,
 ) {
-    private class BadCall(
+    private class InvalidCall(
         val name: String,
         val kind: String,
         val status: Int,
         val change: (HttpCall) -> HttpCall,
     )
 
-    private val badCalls =
+    private val invalidCalls =
         listOf(
-            BadCall(
+            InvalidCall(
                 "an unknown key",
                 "UnknownKey",
                 401,
             ) { it.copy(headers = mapOf("Authorization" to "Bearer no-such")) },
-            BadCall("a missing key", "MissingKey", 401) { it.copy(headers = emptyMap()) },
-            BadCall("an unknown model", "UnknownModel", 404) { deployment.chatCall(model = "no-such") },
-            BadCall("an unknown route", "UnknownRoute", 404) { it.copy(path = "/no-such") },
-            BadCall("malformed JSON", "MalformedRequest", 400) { it.copy(body = """{"model": """) },
-            BadCall("a body over the limit", "BodyTooLarge", 413) { it.copy(body = "x".repeat(BODY_LIMIT_BYTES + 1)) },
+            InvalidCall("a missing key", "MissingKey", 401) { it.copy(headers = emptyMap()) },
+            InvalidCall("an unknown model", "UnknownModel", 404) { deployment.chatCall(model = "no-such") },
+            InvalidCall("an unknown route", "UnknownRoute", 404) { it.copy(path = "/no-such") },
+            InvalidCall("malformed JSON", "MalformedRequest", 400) { it.copy(body = """{"model": """) },
+            InvalidCall(
+                "a body over the limit",
+                "BodyTooLarge",
+                413,
+            ) { it.copy(body = "x".repeat(BODY_LIMIT_BYTES + 1)) },
         )
 
-    private class BadSettings(
+    private class InvalidSettings(
         val command: String,
         val faults: Map<String, String>,
     )
 
-    private val badSettings =
+    private val invalidSettings =
         listOf("caraway-entry", "caraway-agent", "caraway-control run").map { command ->
-            BadSettings(
+            InvalidSettings(
                 command,
                 mapOf("node" to "\"\"", "observability_address" to "\"nowhere\"", "drain_millis" to "-1"),
             )
         }
 
     @BeforeEach
-    fun heal(): Unit = deployment.heal()
+    fun restoreDeployment(): Unit = deployment.restore()
 
     @TestFactory
-    fun `a bad call is refused with its kind and runs nowhere`(): List<DynamicTest> = badCalls.map { case ->
+    fun `an invalid call is refused with its kind and does not run`(): List<DynamicTest> = invalidCalls.map { case ->
         dynamicTest(case.name) {
-            val before = deployment.started(engines)
+            val before = deployment.startedRequests(engines)
             val answer = deployment.call(0, case.change(deployment.chatCall()))
             expectRefused(answer, case.kind, "NotRun")
             expectThat(answer.status).isEqualTo(case.status)
-            expectThat(deployment.started(engines)).isEqualTo(before)
+            expectThat(deployment.startedRequests(engines)).isEqualTo(before)
         }
     }
 
@@ -88,49 +93,49 @@
             val since = System.nanoTime()
             slow.send("POST $CHAT_PATH HTTP/1.1\r\nHost: loopback\r\nX-Slow: ")
             expectThat(deployment.chat(0).status).isEqualTo(OK)
-            slow.untilClosed()
+            slow.readUntilClosed()
             val waitedMillis = (System.nanoTime() - since) / NANOS_PER_MILLI
-            // Half of the common bound leaves room for a busy machine.
+            // Half of the common timeout tolerates a busy machine.
             expectThat(waitedMillis < WAIT_MILLIS / 2).isTrue()
         }
     }
 
     @Test
-    fun `a caller that goes away in mid-stream ends the engine's work and nobody else's`() {
+    fun `a caller that disconnects in mid-stream cancels its own request and no other`() {
         engines.forEach { deployment.faults(it, SLOW_ENGINE) }
         val other = HttpExchange(deployment.addresses.callers[0])
         other.send(deployment.chatCall(stream = true))
-        val leaving = HttpExchange(deployment.addresses.callers[0])
-        leaving.send(deployment.chatCall(stream = true, tokens = LONG_ANSWER_TOKENS))
-        val head = leaving.head()
-        other.head()
-        leaving.close()
-        deployment.until("the engine's work cancelled") {
+        val disconnecting = HttpExchange(deployment.addresses.callers[0])
+        disconnecting.send(deployment.chatCall(stream = true, tokens = LONG_ANSWER_TOKENS))
+        val head = disconnecting.readHead()
+        other.readHead()
+        disconnecting.close()
+        deployment.until("the request cancelled on its engine") {
             val counts = deployment.counters(checkNotNull(head.upstream)).requests[head.requestId]?.counts
             counts?.cancelled == 1L
         }
-        val answer = other.use { it.rest() }
-        expectThat(answer.whole).isTrue()
+        val answer = other.use { it.readBody() }
+        expectThat(answer.complete).isTrue()
         expectThat(answer.body).contains("data: [DONE]")
     }
 
     @TestFactory
-    fun `wrong settings stop the process with exit code 2 and every fault named`(): List<DynamicTest> =
-        badSettings.map { case ->
+    fun `invalid settings stop the process with exit code 2 and a report of every fault`(): List<DynamicTest> =
+        invalidSettings.map { case ->
             dynamicTest(case.command) {
                 val name = "bad-" + case.command.substringBefore(' ')
                 val file = deployment.folder.resolve("$name.toml")
                 Files.write(file, case.faults.map { (key, value) -> "$key = $value" })
                 val process = launch(deployment.folder, name, "${case.command} --settings $file")
                 expectThat(process.exitCodeOf(name)).isEqualTo(SETTINGS_EXIT_CODE)
-                val said = Files.readString(deployment.folder.resolve("$name.log"))
-                expectThat(said).contains("secret_file = (missing)")
-                case.faults.forEach { (key, value) -> expectThat(said).contains("$key = ${value.trim('"')}") }
+                val logText = Files.readString(deployment.folder.resolve("$name.log"))
+                expectThat(logText).contains("secret_file = (missing)")
+                case.faults.forEach { (key, value) -> expectThat(logText).contains("$key = ${value.trim('"')}") }
             }
         }
 
     @TestFactory
-    fun `a link secret that cannot be read stops the process with exit code 2`(): List<DynamicTest> =
+    fun `an unreadable link secret stops the process with exit code 2`(): List<DynamicTest> =
         mapOf("entry-1" to "caraway-entry", "agent-$ENGINE_A" to "caraway-agent", "control-1" to "caraway-control run")
             .map { (node, command) ->
                 dynamicTest(node) {
@@ -145,7 +150,7 @@
             }
 
     @Test
-    fun `a wrong operator token is refused by every control host`() {
+    fun `an unknown operator token is refused by every control host`() {
         controlHosts.indices.forEach { host ->
             val answer = deployment.administer(host, HttpCall("/v1/status"), token = "no-such-token")
             expectThat(answer.status).isEqualTo(401)
@@ -157,16 +162,16 @@
     fun `a peer with another link secret is refused by every control host`() {
         val secret = Files.readString(deployment.folder.resolve("secret")).trim()
         deployment.addresses.controlLinks.mapNotNull(HostPort::parse).forEach { address ->
-            expectThat(links(address, secret)).isTrue()
-            expectThat(links(address, secret.reversed())).isFalse()
+            expectThat(canLink(address, secret)).isTrue()
+            expectThat(canLink(address, secret.reversed())).isFalse()
         }
     }
 
-    private fun links(
+    private fun canLink(
         address: HostPort,
         secret: String,
     ): Boolean {
-        val identity = PeerIdentity(NodeId("stranger"), NodeRole.Tool, ZoneName(TAKEN_ZONE))
+        val identity = PeerIdentity(NodeId("stranger"), NodeRole.Tool, ZoneName(DISABLED_ZONE))
         val shared = SharedSecret(secret.encodeToByteArray())
         return LinkHub(identity, shared) { System.nanoTime() / NANOS_PER_MILLI }.use { hub ->
             runBlocking { hub.connect(address) }.isOk
--- a/e2e/src/test/kotlin/io/carawaytrack/e2e/ChatLoad.kt
+++ b/e2e/src/test/kotlin/io/carawaytrack/e2e/ChatLoad.kt
@@ -1,6 +1,6 @@
 /*
- * A steady flow of chats, one after the other at each entry, and the check that each was answered or truthfully
- * refused.
+ * A continuous load of chats, sequential at each entry, and the check that each chat was answered or refused with an
+ * accurate execution status.
  */
 package io.carawaytrack.e2e
 
@@ -12,51 +12,51 @@
 import strikt.assertions.isTrue
 import java.util.concurrent.ConcurrentLinkedQueue
 
-private const val FLOW_TOKENS = 60
+private const val LOAD_ANSWER_TOKENS = 60
 
-/** Sends chats to the entries numbered [at] until it is stopped. */
-internal class ChatFlow(
+/** Sends chats to the entries with the indices [entryIndices] until it is stopped. */
+internal class ChatLoad(
     private val deployment: Deployment,
-    at: List<Int> = entries.indices.toList(),
+    entryIndices: List<Int> = entries.indices.toList(),
 ) : AutoCloseable {
     private val answers = ConcurrentLinkedQueue<HttpAnswer>()
 
     @Volatile
-    private var going = true
-    private val loops = at.map { entry -> deployment.inBackground { chatOn(entry) } }
+    private var running = true
+    private val senders = entryIndices.map { entry -> deployment.inBackground { sendChats(entry) } }
 
-    private fun chatOn(entry: Int) {
-        while (going) answers += deployment.call(entry, deployment.chatCall(tokens = FLOW_TOKENS))
+    private fun sendChats(entry: Int) {
+        while (running) answers += deployment.call(entry, deployment.chatCall(tokens = LOAD_ANSWER_TOKENS))
     }
 
     fun awaitServed(count: Int) {
-        val wanted = served() + count
-        deployment.until("$count chats served") { served() >= wanted || loops.any { it.isDone } }
+        val target = served() + count
+        deployment.until("$count chats served") { served() >= target || senders.any { it.isDone } }
     }
 
     private fun served() = answers.count { it.status == OK }
 
-    /** Ends the flow and returns every answer; fails when a call ended without one. */
+    /** Stops the load and returns every answer; fails when a call ended without one. */
     fun stop(): List<HttpAnswer> {
-        going = false
-        loops.forEach { it.await() }
+        running = false
+        senders.forEach { it.await() }
         return answers.toList()
     }
 
     override fun close() {
-        going = false
+        running = false
     }
 }
 
-/** Expects that every one of [answers] is whole, or a refusal whose "not run" the counters confirm. */
-internal fun Deployment.expectTruthful(answers: List<HttpAnswer>) {
+/** Expects that each of [answers] is complete, and that the counters confirm each refusal with `NotRun`. */
+internal fun Deployment.expectAccurateOutcomes(answers: List<HttpAnswer>) {
     val counts = (engines + services).map(::counters)
     expectThat(answers).all {
-        get { whole }.isTrue()
-        assertThat("is served or says what went wrong") {
+        get { complete }.isTrue()
+        assertThat("is served or names its error and execution status") {
             it.status == OK || (it.errorKind != null && it.execution != null)
         }
-        assertThat("ran nowhere when it says so") { answer ->
+        assertThat("did not run on any upstream if reported as NotRun") { answer ->
             answer.execution != "NotRun" || counts.none { (it.requests[answer.requestId]?.counts?.started ?: 0) > 0 }
         }
     }
@@ -71,6 +71,6 @@
         get { errorKind }.isEqualTo(kind)
         get { this.execution }.isEqualTo(execution)
         get { requestId }.isNotNull()
-        get { whole }.isTrue()
+        get { complete }.isTrue()
     }
 }
--- a/e2e/src/test/kotlin/io/carawaytrack/e2e/Deployment.kt
+++ b/e2e/src/test/kotlin/io/carawaytrack/e2e/Deployment.kt
@@ -1,5 +1,5 @@
 /*
- * A small deployment of real processes on loopback, which a test kills, freezes, resumes, stops and starts by name.
+ * A small deployment of real processes on loopback, which tests kill, freeze, resume, stop and start by name.
  */
 package io.carawaytrack.e2e
 
@@ -30,7 +30,7 @@
 internal const val ENGINE_B = "quill-small-b"
 internal const val STOCK_A = "stock-a"
 internal const val STOCK_B = "stock-b"
-internal const val TAKEN_ZONE = "zone-1"
+internal const val DISABLED_ZONE = "zone-1"
 internal const val RECEIVE_MILLIS = 2_000L
 internal const val BODY_LIMIT_BYTES = 65_536
 internal const val CHAT_PATH = "/v1/chat/completions"
@@ -55,15 +55,15 @@
     DemoLayout(
         upstreams =
             listOf(
-                DemoUpstream(ENGINE_A, TAKEN_ZONE, "quill-small", "1", LONG_ANSWER),
+                DemoUpstream(ENGINE_A, DISABLED_ZONE, "quill-small", "1", LONG_ANSWER),
                 DemoUpstream(ENGINE_B, "zone-2", "quill-small", "1", LONG_ANSWER),
-                DemoUpstream(STOCK_A, TAKEN_ZONE, null, "service"),
+                DemoUpstream(STOCK_A, DISABLED_ZONE, null, "service"),
                 DemoUpstream(STOCK_B, "zone-2", null, "service"),
             ),
         entrySettings = "receive_millis = $RECEIVE_MILLIS\nmax_body_bytes = $BODY_LIMIT_BYTES",
     )
 
-/** Starts [command] as the launchers do, with its output in files named after [name]. */
+/** Starts [command] as the scripts in `bin` do, with its output in files named after [name]. */
 internal fun launch(
     folder: Path,
     name: String,
@@ -79,7 +79,7 @@
         .start()
 }
 
-/** Waits for the end of the process and returns its exit code. */
+/** Waits until the process ends and returns its exit code. */
 internal fun Process.exitCodeOf(name: String): Int {
     val ended = waitFor(WAIT_MILLIS.toLong(), TimeUnit.MILLISECONDS)
     if (!ended) destroyForcibly()
@@ -90,8 +90,8 @@
 internal class Deployment(
     val folder: Path,
 ) : AutoCloseable {
-    private val planned = planDemo(folder, layout)
-    private val serving = planned.filterNot { it.name.endsWith("-init") }
+    private val processesInOrder = planDemo(folder, layout)
+    private val servers = processesInOrder.filterNot { it.name.endsWith("-init") }
     private val processes = HashMap<String, Process>()
     private val frozen = HashSet<String>()
     private val threads = Executors.newCachedThreadPool { Thread(it, "caller").apply { isDaemon = true } }
@@ -101,18 +101,18 @@
     val addresses = client.addresses
 
     fun start() {
-        planned
+        processesInOrder
             .filter { it.name.endsWith("-init") }
             .map { it.name to launch(folder, it.name, it.command) }
             .forEach { (name, process) ->
-                check(process.exitCodeOf(name) == 0) { "expected $name to prepare its folder" }
+                check(process.exitCodeOf(name) == 0) { "expected $name to exit with code 0" }
             }
-        serving.forEach { start(it) }
-        awaitWhole()
+        servers.forEach { start(it) }
+        awaitAllProcesses()
         changeEverywhere(ConfigurationChange.ApplyTables(deploymentTables(client.callerKey)))
     }
 
-    fun start(name: String): Unit = start(serving.first { it.name == name })
+    fun start(name: String): Unit = start(servers.first { it.name == name })
 
     private fun start(process: DemoProcess) {
         processes[process.name] = launch(folder, process.name, process.command)
@@ -125,7 +125,7 @@
         frozen -= name
     }
 
-    /** Asks for a graceful shutdown. */
+    /** Requests a graceful shutdown. */
     fun stop(name: String): Unit = processes.getValue(name).destroy()
 
     fun exitCode(name: String): Int = processes.getValue(name).exitCodeOf(name)
@@ -148,47 +148,47 @@
         check(sent.exitCodeOf("kill $signal $name") == 0) { "expected $signal to reach $name" }
     }
 
-    /** Brings back what the test before has left frozen, ended, faulty or out of service. */
-    fun heal() {
+    /** Restores what the previous test has left frozen, ended, faulty or out of service. */
+    fun restore() {
         frozen.toList().forEach(::resume)
-        awaitWhole()
+        awaitAllProcesses()
         addresses.upstreams.keys.forEach { faults(it, "{}") }
         if (status()?.zonesOut.orEmpty().isNotEmpty()) {
-            changeEverywhere(ConfigurationChange.SetZone(ZoneName(TAKEN_ZONE), inService = true))
+            changeEverywhere(ConfigurationChange.SetZone(ZoneName(DISABLED_ZONE), inService = true))
         }
         awaitServing()
     }
 
-    /** Starts what has died; a process whose port is closed already may still count as alive for a moment. */
-    private fun startDead() = serving.filterNot { processes.getValue(it.name).isAlive }.forEach { start(it) }
+    /** Restarts ended processes; one that has already closed its port may still be reported as alive for a moment. */
+    private fun restartEnded() = servers.filterNot { processes.getValue(it.name).isAlive }.forEach { start(it) }
 
-    /** Waits until every entry serves; one that has just been started may not listen yet. */
+    /** Waits until every entry serves; an entry that has just been started may not listen yet. */
     fun awaitServing(): Unit =
-        until("entries that serve") { entries.indices.all { entry -> reached { chat(entry) }?.status == OK } }
+        until("every entry serving") { entries.indices.all { entry -> resultOrNull { chat(entry) }?.status == OK } }
 
-    private fun awaitWhole() {
+    private fun awaitAllProcesses() {
         until("every stand-in listening") {
-            startDead()
-            addresses.upstreams.keys.all { it.answers() }
+            restartEnded()
+            addresses.upstreams.keys.all { it.isListening() }
         }
         until("every upstream announced") { announcements().count { !it.leaving } == addresses.upstreams.size }
-        val holders = serving.size - addresses.upstreams.size - controlHosts.size
+        val holders = servers.size - addresses.upstreams.size - controlHosts.size
         until("$holders holders") { status()?.holders?.size == holders }
     }
 
-    private fun String.answers(): Boolean = reached { counters(this) } != null
+    private fun String.isListening(): Boolean = resultOrNull { counters(this) } != null
 
-    /** Returns what [call] returns, null when nobody listens or the connection breaks. */
-    fun <T : Any> reached(call: () -> T): T? = try {
+    /** Returns the result of [call], null when the port is closed or the connection breaks. */
+    fun <T : Any> resultOrNull(call: () -> T): T? = try {
         call()
     } catch (_: IOException) {
         null
     }
 
     fun until(
-        what: String,
+        expectation: String,
         condition: () -> Boolean,
-    ): Unit = runBlocking { client.until(what) { condition() } }
+    ): Unit = runBlocking { client.until(expectation) { condition() } }
 
     fun status(): StatusReport? = runBlocking { client.status() }
 
@@ -212,7 +212,7 @@
     fun counters(upstream: String): CounterReport =
         json.decodeFromString(exchange(addresses.upstreams.getValue(upstream), HttpCall("/counters")).body)
 
-    fun started(upstreams: List<String>): Long = upstreams.sumOf { counters(it).total.started }
+    fun startedRequests(upstreams: List<String>): Long = upstreams.sumOf { counters(it).total.started }
 
     fun faults(
         upstream: String,
@@ -221,11 +221,11 @@
         val headers = mapOf("Content-Type" to "application/json")
         val call = HttpCall("/faults", "POST", headers, faults)
         val answer = exchange(addresses.upstreams.getValue(upstream), call)
-        check(answer.status == OK) { "expected $upstream to take the faults $faults, got $answer" }
+        check(answer.status == OK) { "expected $upstream to accept the faults $faults, got $answer" }
     }
 
-    fun callerHeaders(further: Map<String, String> = emptyMap()): Map<String, String> =
-        mapOf("Authorization" to "Bearer ${client.callerKey}", "Content-Type" to "application/json") + further
+    fun callerHeaders(additional: Map<String, String> = emptyMap()): Map<String, String> =
+        mapOf("Authorization" to "Bearer ${client.callerKey}", "Content-Type" to "application/json") + additional
 
     fun chatCall(
         stream: Boolean = false,
@@ -276,10 +276,10 @@
     }
 }
 
-/** Waits for a result with the common bound. */
+/** Waits for a result, at most [WAIT_MILLIS]. */
 internal fun <T> Future<T>.await(): T = get(WAIT_MILLIS.toLong(), TimeUnit.MILLISECONDS)
 
-/** Hands the one deployment of the test run to each test class; it ends with the run. */
+/** Provides each test class with the one deployment of the test run, which is closed at the end of the run. */
 internal class SharedDeployment : ParameterResolver {
     override fun supportsParameter(
         parameter: ParameterContext,
@@ -291,10 +291,13 @@
         context: ExtensionContext,
     ): Any = context.root
         .getStore(ExtensionContext.Namespace.GLOBAL)
-        .getOrComputeIfAbsent(Deployment::class.java.name, { Started(started()) }, Started::class.java)
-        .deployment
+        .getOrComputeIfAbsent(
+            Deployment::class.java.name,
+            { StartedDeployment(startDeployment()) },
+            StartedDeployment::class.java,
+        ).deployment
 
-    private fun started(): Deployment {
+    private fun startDeployment(): Deployment {
         val target = Files.createDirectories(Path.of("target")).toAbsolutePath()
         val deployment = Deployment(Files.createTempDirectory(target, "deployment-"))
         return runCatching { deployment.apply { start() } }
@@ -302,7 +305,7 @@
             .getOrThrow()
     }
 
-    private class Started(
+    private class StartedDeployment(
         val deployment: Deployment,
     ) : AutoCloseable {
         override fun close(): Unit = deployment.close()
--- a/e2e/src/test/kotlin/io/carawaytrack/e2e/DeploymentTables.kt
+++ b/e2e/src/test/kotlin/io/carawaytrack/e2e/DeploymentTables.kt
@@ -1,5 +1,5 @@
 /*
- * The tables of the deployment: chats on one model version that two upstreams serve, and stock on a plain service.
+ * Tables of the deployment: chats on one model version that two upstreams serve, and stock on a plain service.
  */
 package io.carawaytrack.e2e
 
--- a/e2e/src/test/kotlin/io/carawaytrack/e2e/HttpExchange.kt
+++ b/e2e/src/test/kotlin/io/carawaytrack/e2e/HttpExchange.kt
@@ -1,6 +1,6 @@
 /*
- * Calls over a plain socket, one connection each. A library would hide what these tests are about: a connection that
- * the server cuts, a caller that reads slowly or goes away, and headers that never end.
+ * HTTP calls over a plain socket, one connection each. A library would hide what these tests cover: a connection that
+ * the server closes, a caller that reads slowly or disconnects, and headers that never end.
  */
 package io.carawaytrack.e2e
 
@@ -11,18 +11,18 @@
 import java.net.InetSocketAddress
 import java.net.Socket
 
-/** Bound on every wait, in milliseconds. */
+/** Timeout of every wait. */
 internal const val WAIT_MILLIS = 60_000
 
 private const val RECEIVE_BUFFER_BYTES = 4_096
 private const val END_OF_STREAM = -1
 
-/** Holds an answer; [whole] is false when the connection ended before the answer did. */
+/** Describes an answer; [complete] is false when the connection ended before the answer did. */
 internal data class HttpAnswer(
     val status: Int,
     val headers: Map<String, String>,
     val body: String,
-    val whole: Boolean,
+    val complete: Boolean,
 ) {
     val errorKind: String? get() = headers["x-caraway-error"]
     val execution: String? get() = headers["x-caraway-execution"]
@@ -38,7 +38,7 @@
     val body: String? = null,
 )
 
-/** A call whose answer is read when the test wants it. */
+/** Sends a call and leaves the time at which its answer is read to the test. */
 internal class HttpExchange(
     address: String,
 ) : AutoCloseable {
@@ -61,52 +61,52 @@
 
     fun send(call: HttpCall) {
         val body = call.body.orEmpty()
-        val own = mapOf("Host" to "loopback", "Content-Length" to body.length.toString())
-        val lines = (own + call.headers).map { (name, value) -> "$name: $value\r\n" }.joinToString("")
+        val connectionHeaders = mapOf("Host" to "loopback", "Content-Length" to body.length.toString())
+        val lines = (connectionHeaders + call.headers).map { (name, value) -> "$name: $value\r\n" }.joinToString("")
         send("${call.method} ${call.path} HTTP/1.1\r\n$lines\r\n$body")
     }
 
     /** Reads the status and the headers; returns an answer without its body. */
-    fun head(): HttpAnswer {
-        status = line().split(' ').getOrNull(1)?.toInt() ?: throw IOException("expected a status line, got none")
+    fun readHead(): HttpAnswer {
+        status = readLine().split(' ').getOrNull(1)?.toInt() ?: throw IOException("expected a status line, got none")
         headers =
-            generateSequence(::line)
+            generateSequence(::readLine)
                 .takeWhile { it.isNotEmpty() }
                 .associate { it.substringBefore(':').lowercase() to it.substringAfter(':').trim() }
-        return HttpAnswer(status, headers, "", whole = false)
+        return HttpAnswer(status, headers, "", complete = false)
     }
 
     /** Reads the body to its end, or to the end of the connection. */
-    fun rest(): HttpAnswer {
+    fun readBody(): HttpAnswer {
         val body = ByteArrayOutputStream()
-        val whole =
+        val complete =
             try {
-                if (headers["transfer-encoding"] == "chunked") chunks(body) else plain(body)
+                if (headers["transfer-encoding"] == "chunked") readChunks(body) else readByLength(body)
             } catch (_: IOException) {
                 false
             }
-        return HttpAnswer(status, headers, body.toString(Charsets.UTF_8), whole)
+        return HttpAnswer(status, headers, body.toString(Charsets.UTF_8), complete)
     }
 
-    /** Reads until the server closes the connection; returns what came before. */
-    fun untilClosed(): String = String(input.readAllBytes())
+    /** Reads until the server closes the connection and returns what was read. */
+    fun readUntilClosed(): String = String(input.readAllBytes())
 
-    private fun chunks(body: ByteArrayOutputStream): Boolean {
+    private fun readChunks(body: ByteArrayOutputStream): Boolean {
         while (true) {
-            val size = line().toIntOrNull(radix = 16) ?: return false
+            val size = readLine().toIntOrNull(radix = 16) ?: return false
             body.write(input.readNBytes(size))
-            line()
+            readLine()
             if (size == 0) return true
         }
     }
 
-    private fun plain(body: ByteArrayOutputStream): Boolean {
+    private fun readByLength(body: ByteArrayOutputStream): Boolean {
         val length = headers["content-length"]?.toInt() ?: return false
         body.write(input.readNBytes(length))
         return body.size() == length
     }
 
-    private fun line(): String {
+    private fun readLine(): String {
         val bytes = ByteArrayOutputStream()
         while (true) {
             when (val next = input.read()) {
@@ -120,12 +120,12 @@
     override fun close(): Unit = socket.close()
 }
 
-/** Sends [call] to [address] and reads the whole answer. */
+/** Sends [call] to [address] and reads the complete answer. */
 internal fun exchange(
     address: String,
     call: HttpCall,
 ): HttpAnswer = HttpExchange(address).use {
     it.send(call)
-    it.head()
-    it.rest()
+    it.readHead()
+    it.readBody()
 }
--- a/e2e/src/test/kotlin/io/carawaytrack/e2e/KillsTest.kt
+++ b/e2e/src/test/kotlin/io/carawaytrack/e2e/KillsTest.kt
@@ -1,5 +1,6 @@
 /*
- * Processes of a real deployment are killed, frozen and stopped while it serves. The stand-ins' counters tell what ran.
+ * Processes of a real deployment are killed, frozen and stopped while it serves requests. The counters of the stand-ins
+ * show which requests ran.
  */
 package io.carawaytrack.e2e
 
@@ -28,12 +29,12 @@
 
 private const val SLOW_SERVICE = """{"delayMillis":3000}"""
 private const val SLOW_ENGINE = """{"tokenSlowdown":1000.0}"""
-private const val RESENDS = 5
+private const val CRASHING_REQUESTS = 5
 private const val CRASH_TEXT = "burst the boiler"
 private const val MANY_CHANGES = 110
 private const val SERVED_BETWEEN_STEPS = 5
 private const val LONG_ANSWER_TOKENS = 2_000
-private const val END_CHARACTERS = 300
+private const val COMPARED_END_CHARACTERS = 300
 private const val CREATED = 201
 private const val NANOS_PER_MILLI = 1_000_000L
 private const val CONFIGURATION_PATH = "/v1/configuration"
@@ -45,118 +46,121 @@
     private val json = Json { ignoreUnknownKeys = true }
 
     @BeforeEach
-    fun heal(): Unit = deployment.heal()
+    fun restoreDeployment(): Unit = deployment.restore()
 
     @Test
-    fun `a killed leading control host stops no chat and no change, and catches up from its folder`() {
+    fun `chats and changes go on while the leading control host is down, and it catches up from its folder`() {
         val leader = deployment.leader()
-        ChatFlow(deployment).use { flow ->
-            flow.awaitServed(SERVED_BETWEEN_STEPS)
-            val before = touch()
+        ChatLoad(deployment).use { load ->
+            load.awaitServed(SERVED_BETWEEN_STEPS)
+            val before = makeHarmlessChange()
             deployment.kill(leader)
-            val without = touch()
-            flow.awaitServed(SERVED_BETWEEN_STEPS)
+            val whileDown = makeHarmlessChange()
+            load.awaitServed(SERVED_BETWEEN_STEPS)
             deployment.start(leader)
-            // With one more host gone, a change is accepted only when the restarted one has caught up.
+            // With another host down, the quorum for a change needs the restarted host, which must have caught up.
             val next = controlHosts.first { it != leader }
             deployment.kill(next)
-            val caughtUp = touch()
+            val afterCatchUp = makeHarmlessChange()
             deployment.start(next)
-            flow.awaitServed(SERVED_BETWEEN_STEPS)
+            load.awaitServed(SERVED_BETWEEN_STEPS)
             expectThat(
-                listOf(before, without, caughtUp),
-            ).isEqualTo(listOf(before, without, caughtUp).sorted().distinct())
-            deployment.expectTruthful(flow.stop())
+                listOf(before, whileDown, afterCatchUp),
+            ).isEqualTo(listOf(before, whileDown, afterCatchUp).sorted().distinct())
+            deployment.expectAccurateOutcomes(load.stop())
         }
     }
 
     @Test
-    fun `a reservation whose entry is killed before the answer is not run again by a resend through another entry`() {
+    fun `a reservation whose entry is killed before the answer is not run again by a retry through another entry`() {
         services.forEach { deployment.faults(it, SLOW_SERVICE) }
-        val before = deployment.started(services)
+        val before = deployment.startedRequests(services)
         val key = UUID.randomUUID().toString()
         deployment.inBackground { runCatching { deployment.reserve(0, key) } }
-        runningOn(services)
+        awaitRunningRequest(services)
         deployment.kill(entries[0])
-        lateinit var resent: HttpAnswer
-        deployment.until("an answer to the resend that stays") {
-            resent = deployment.reserve(1, key)
-            resent.errorKind != "InProgress"
+        lateinit var retried: HttpAnswer
+        deployment.until("a final answer to the retry") {
+            retried = deployment.reserve(1, key)
+            retried.errorKind != "InProgress"
         }
-        if (resent.status == CREATED) {
-            expectThat(resent.isRepeated).isTrue()
+        if (retried.status == CREATED) {
+            expectThat(retried.isRepeated).isTrue()
         } else {
-            expectRefused(resent, "OutcomeUnknown", "MayHaveRun")
+            expectRefused(retried, "OutcomeUnknown", "MayHaveRun")
         }
-        expectThat(deployment.started(services) - before).isEqualTo(1)
+        expectThat(deployment.startedRequests(services) - before).isEqualTo(1)
     }
 
     @Test
-    fun `a killed agent's reservation is not repeated, its chat moves or is refused, and the next one gets work`() {
+    fun `a killed agent's reservation is not rerun, its chat moves or is refused, and the restarted agent serves`() {
         services.forEach { deployment.faults(it, SLOW_SERVICE) }
         engines.forEach { deployment.faults(it, SLOW_ENGINE) }
-        val reservedBefore = deployment.started(services)
+        val reservedBefore = deployment.startedRequests(services)
         val key = UUID.randomUUID().toString()
         val reservation = deployment.inBackground { deployment.reserve(0, key) }
         val chat = deployment.inBackground { deployment.chat(0) }
-        val service = runningOn(services)
-        val engine = runningOn(engines)
-        val earlier = deployment.announcements().first { it.upstream.value == engine }.incarnation
+        val service = awaitRunningRequest(services)
+        val engine = awaitRunningRequest(engines)
+        val incarnationBefore = deployment.announcements().first { it.upstream.value == engine }.incarnation
         listOf(service, engine).forEach { deployment.kill("agent-$it") }
         expectRefused(reservation.await(), "IncompleteAnswer", "MayHaveRun")
-        deployment.expectTruthful(listOf(chat.await()))
-        val resent = deployment.reserve(1, key)
-        expectThat(resent.errorKind).isContainedIn(listOf("InProgress", "OutcomeUnknown"))
-        expectThat(resent.execution).isEqualTo("MayHaveRun")
-        expectThat(deployment.started(services) - reservedBefore).isLessThanOrEqualTo(1)
+        deployment.expectAccurateOutcomes(listOf(chat.await()))
+        val retried = deployment.reserve(1, key)
+        expectThat(retried.errorKind).isContainedIn(listOf("InProgress", "OutcomeUnknown"))
+        expectThat(retried.execution).isEqualTo("MayHaveRun")
+        expectThat(deployment.startedRequests(services) - reservedBefore).isLessThanOrEqualTo(1)
         engines.forEach { deployment.faults(it, "{}") }
         deployment.start("agent-$engine")
         deployment.until("$engine announced again") {
-            deployment.announcements().any { it.upstream.value == engine && it.incarnation > earlier }
+            deployment.announcements().any { it.upstream.value == engine && it.incarnation > incarnationBefore }
         }
         deployment.until("work on $engine") { entries.indices.any { deployment.chat(it).upstream == engine } }
     }
 
     @Test
-    fun `an entry and an agent frozen while a zone goes out bring it no work after the bound`() {
+    fun `an entry and an agent frozen while a zone is taken out send it no work after the bound`() {
         val frozenAgent = "agent-$ENGINE_A"
-        val taken = listOf(ENGINE_A, STOCK_A)
+        val upstreamsInZone = listOf(ENGINE_A, STOCK_A)
         deployment.freeze(frozenAgent)
         val atAgent = List(SERVED_BETWEEN_STEPS) { deployment.inBackground { deployment.chat(1) } }
         deployment.freeze(entries[0])
         val atEntry = List(SERVED_BETWEEN_STEPS) { deployment.inBackground { deployment.chat(0) } }
-        deployment.change(ConfigurationChange.SetZone(ZoneName(TAKEN_ZONE), inService = false))
-        awaitBound(nowMillis())
-        val before = taken.map { deployment.started(listOf(it)) }
+        deployment.change(ConfigurationChange.SetZone(ZoneName(DISABLED_ZONE), inService = false))
+        awaitInForceBound(nowMillis())
+        val before = upstreamsInZone.map { deployment.startedRequests(listOf(it)) }
         deployment.resume(frozenAgent)
         deployment.resume(entries[0])
         val late = (atAgent + atEntry).map(Future<HttpAnswer>::await)
         deployment.awaitServing()
         val afterwards = List(2 * SERVED_BETWEEN_STEPS) { deployment.chat(it % entries.size) }
-        deployment.expectTruthful(late + afterwards)
-        expectThat(taken.map { deployment.started(listOf(it)) }).isEqualTo(before)
+        deployment.expectAccurateOutcomes(late + afterwards)
+        expectThat(upstreamsInZone.map { deployment.startedRequests(listOf(it)) }).isEqualTo(before)
         expectThat(afterwards).all { get { upstream }.isEqualTo(ENGINE_B) }
     }
 
     @Test
-    fun `an agent and an entry that are stopped under slow readers cut no stream and exit with 0`() {
+    fun `an agent and an entry that are stopped during slow reads cut no stream and exit with 0`() {
         val calls = entries.indices.map { index -> HttpExchange(deployment.addresses.callers[index]) }
         calls.forEach { it.send(deployment.chatCall(stream = true, tokens = LONG_ANSWER_TOKENS)) }
-        val agent = "agent-" + calls.map { it.head() }.last().upstream
+        val agent = "agent-" + calls.map { it.readHead() }.last().upstream
         val stopped = listOf(agent, entries[0])
         stopped.forEach(deployment::stop)
         deployment.until("$stopped no longer ready") { stopped.none(deployment::ready) }
-        val ends = calls.map { call -> call.use { it.rest() } }.map { it.copy(body = it.body.takeLast(END_CHARACTERS)) }
+        val ends =
+            calls
+                .map { call -> call.use { it.readBody() } }
+                .map { it.copy(body = it.body.takeLast(COMPARED_END_CHARACTERS)) }
         expectThat(ends).all {
-            get { whole }.isTrue()
+            get { complete }.isTrue()
             get { body.trim() }.endsWith("data: [DONE]")
         }
         expectThat(stopped.map(deployment::exitCode)).all { isEqualTo(0) }
     }
 
     @Test
-    fun `control hosts that are all killed after many changes come back with the last configuration`() {
-        val last = List(MANY_CHANGES) { touch() }.last()
+    fun `control hosts that are all killed after many changes restart with the last configuration`() {
+        val last = List(MANY_CHANGES) { makeHarmlessChange() }.last()
         val tables = configuration().tables
         controlHosts.forEach(deployment::kill)
         controlHosts.forEach(deployment::start)
@@ -165,13 +169,13 @@
             get { number }.isGreaterThanOrEqualTo(last)
             get { this.tables }.isEqualTo(tables)
         }
-        expectThat(touch()).isGreaterThan(last)
+        expectThat(makeHarmlessChange()).isGreaterThan(last)
         deployment.awaitServing()
     }
 
     @Test
-    fun `with two control hosts down nothing is changed or placed, and all resumes when one is back`() {
-        val numberBefore = touch()
+    fun `with two control hosts down no change or request is accepted until one of them restarts`() {
+        val numberBefore = makeHarmlessChange()
         val leader = deployment.leader()
         val down = listOf(leader, controlHosts.first { it != leader })
         val left = controlHosts.indexOfFirst { it !in down }
@@ -182,43 +186,43 @@
         val request = """{"operationId":"while-down","change":$change}"""
         val changed = deployment.administer(left, HttpCall("/v1/changes", "POST", body = request))
         expectThat(listOf(read, changed)).all { get { status }.isGreaterThanOrEqualTo(400) }
-        awaitBound(atMillis)
-        val before = deployment.started(engines)
+        awaitInForceBound(atMillis)
+        val before = deployment.startedRequests(engines)
         val refused = List(SERVED_BETWEEN_STEPS) { deployment.chat(it % entries.size) }
         refused.forEach { expectRefused(it, "ControlUnavailable", "NotRun") }
-        expectThat(deployment.started(engines)).isEqualTo(before)
+        expectThat(deployment.startedRequests(engines)).isEqualTo(before)
         deployment.start(down.first())
         deployment.awaitServing()
-        val numberAfter = touch()
-        // A refusal that says "not run" binds: only the change of this line may have come in between.
+        val numberAfter = makeHarmlessChange()
+        // A refusal with `NotRun` rules out that the change was accepted: only the change made above may be counted.
         val unaccounted = numberAfter - numberBefore - 1
         expectThat(unaccounted).isLessThanOrEqualTo(if ("\"NotRun\"" in changed.body) 0 else 1)
     }
 
     @Test
-    fun `a request that crashes engines ends in quarantine after few deaths and others are served`() {
+    fun `a request that crashes engines is quarantined after a few crashes and others are served`() {
         val crashing = deployment.chatCall(text = CRASH_TEXT)
-        var deaths = 0
+        var crashes = 0
         val answers =
-            List(RESENDS) { round ->
+            List(CRASHING_REQUESTS) { round ->
                 engines.forEach { deployment.faults(it, """{"crashText":"$CRASH_TEXT"}""") }
                 val answer = deployment.call(round % entries.size, crashing)
-                deaths += engines.count { engine -> deployment.reached { deployment.counters(engine) } == null }
-                deployment.heal()
+                crashes += engines.count { engine -> deployment.resultOrNull { deployment.counters(engine) } == null }
+                deployment.restore()
                 answer
             }
-        deployment.expectTruthful(answers)
+        deployment.expectAccurateOutcomes(answers)
         expectThat(answers.first().execution).isEqualTo("MayHaveRun")
         expectRefused(answers.last(), "Quarantined", "NotRun")
-        // The last request that is let through may go on to a second engine before its agent hears of the deaths.
-        expectThat(deaths).isLessThanOrEqualTo(QuarantineSettings().deathsToQuarantine + 1)
+        // The last admitted request may be retried on a second engine before that agent is notified of the crashes.
+        expectThat(crashes).isLessThanOrEqualTo(QuarantineSettings().deathsToQuarantine + 1)
         expectThat(List(SERVED_BETWEEN_STEPS) { deployment.chat(it % entries.size) }).all {
             get { status }.isEqualTo(OK)
         }
     }
 
-    /** Makes a change that harms nothing; returns its number. */
-    private fun touch(): Long =
+    /** Makes a change that affects no test and returns its number. */
+    private fun makeHarmlessChange(): Long =
         deployment.change(ConfigurationChange.SetUpstream(UpstreamId("spare"), inService = false))
 
     private fun configuration(): Configuration {
@@ -227,29 +231,29 @@
             read =
                 controlHosts.indices
                     .mapNotNull { host ->
-                        deployment.reached { deployment.administer(host, HttpCall(CONFIGURATION_PATH)) }
+                        deployment.resultOrNull { deployment.administer(host, HttpCall(CONFIGURATION_PATH)) }
                     }.find { it.status == OK }
             read != null
         }
         return json.decodeFromString(checkNotNull(read).body)
     }
 
-    /** Waits until an agent of [upstreams] reports a running request; returns its upstream. */
-    private fun runningOn(upstreams: List<String>): String {
-        var found: String? = null
+    /** Waits until the agent of one of [upstreams] reports a running request and returns its upstream. */
+    private fun awaitRunningRequest(upstreams: List<String>): String {
+        var running: String? = null
         deployment.until("a request running on one of $upstreams") {
-            found =
+            running =
                 deployment
                     .announcements()
                     .find { it.upstream.value in upstreams && it.load.running > 0 }
                     ?.upstream
                     ?.value
-            found != null
+            running != null
         }
-        return checkNotNull(found)
+        return checkNotNull(running)
     }
 
-    private fun awaitBound(sinceMillis: Long) {
+    private fun awaitInForceBound(sinceMillis: Long) {
         deployment.until("the end of the bound") { nowMillis() - sinceMillis >= IN_FORCE_BOUND_MILLIS }
     }
 
