--- a/ctl/src/main/kotlin/io/carawaytrack/ctl/ChangeCommands.kt
+++ b/ctl/src/main/kotlin/io/carawaytrack/ctl/ChangeCommands.kt
@@ -150,7 +150,7 @@
     override fun change(): Result<ConfigurationChange, CtlError> = files.read().map(ConfigurationChange::ApplyTables)
 }
 
-@Command(name = "rollback", description = ["Restores the configuration of a number, as a new change."])
+@Command(name = "rollback", description = ["Restores the configuration with number N, as a new change."])
 internal class RollbackCommand : ChangeCommand() {
     @Parameters(paramLabel = "N", description = ["Number to restore; see history."])
     var number: Long = 0
--- a/demo/src/main/kotlin/io/carawaytrack/demo/DemoClient.kt
+++ b/demo/src/main/kotlin/io/carawaytrack/demo/DemoClient.kt
@@ -148,12 +148,12 @@
     ): T {
         val result =
             withTimeoutOrNull(WAIT_TIMEOUT_MILLIS) {
-                var value = attempt()
-                while (value == null) {
+                var latest = attempt()
+                while (latest == null) {
                     delay(POLL_INTERVAL_MILLIS)
-                    value = attempt()
+                    latest = attempt()
                 }
-                value
+                latest
             }
         return checkNotNull(result) { "expected $expectation within $WAIT_TIMEOUT_MILLIS ms" }
     }
