--- a/agent/src/main/kotlin/io/carawaytrack/agent/Agent.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/Agent.kt
@@ -31,7 +31,7 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** Disables relapse by latency: the latency of a plain service depends on the request, not on whether it is warm. */
+/** Disables cold detection by latency: a plain service's latency depends on the request, not on whether it is warm. */
 private const val LATENCY_FACTOR_DISABLED = 1e9
 
 internal class Agent(
@@ -151,7 +151,7 @@
         if (drained ==
             null
         ) {
-            logger.warn { "attempts still open after ${process.drainMillis} ms: ${load()}" }
+            logger.warn { "attempts or their settlements not finished within ${process.drainMillis} ms: ${load()}" }
         }
     }
 
--- a/agent/src/main/kotlin/io/carawaytrack/agent/UsageMeter.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/UsageMeter.kt
@@ -11,6 +11,7 @@
 import kotlinx.serialization.json.longOrNull
 import java.io.ByteArrayOutputStream
 
+/** Maximum bytes kept of a stream line or of a JSON body; the usage in a longer one is not recognized. */
 private const val MAX_LINE_BYTES = 1024 * 1024
 private const val EVENT_PREFIX = "data:"
 private const val CLOSING_EVENT = "[DONE]"
@@ -19,6 +20,7 @@
 internal class UsageMeter(
     private val streamed: Boolean,
 ) {
+    /** Current line of a stream, or the complete body of an answer that is not streamed. */
     private val line = ByteArrayOutputStream()
     private var events = 0L
     private var reportedUsage: Usage? = null
--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/AgentMetrics.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/AgentMetrics.kt
@@ -20,7 +20,7 @@
 
 /** Records the events of an agent. */
 public interface AgentMetrics {
-    /** Updates the metrics to [configuration], which is now in force, and removes stale series. */
+    /** Updates the metrics to [configuration], which is now in force, and removes the series of versions it lacks. */
     public fun inForce(configuration: Configuration)
 
     /** Counts an attempt that was refused before it reached the upstream. */
@@ -35,10 +35,10 @@
     /** Counts an ended attempt and records its latency. */
     public fun attemptEnded(end: UpstreamAttemptEnd)
 
-    /** Counts a restart of admission from slow start. */
+    /** Counts a slow start after a crash of the upstream. */
     public fun slowStarted()
 
-    /** Counts a quarantined request. */
+    /** Counts a request that was refused because it is quarantined. */
     public fun quarantined()
 }
 
