--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Exchange.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Exchange.kt
@@ -1,7 +1,7 @@
 /*
- * One request from its arrival to the last byte of its response. An exchange knows for each attempt whether the
- * upstream may have executed the request. This alone determines whether another attempt is allowed and which status the
- * caller may receive.
+ * One request from its arrival to the last byte of its response. An exchange tracks whether an upstream may have
+ * executed the request. This determines which status the caller may receive, and whether another attempt requires a
+ * retryable route and a retry from the budget.
  */
 package io.carawaytrack.gateway
 
@@ -13,16 +13,16 @@
 import io.netty.buffer.ByteBuf
 import io.netty.handler.codec.http.HttpResponse
 
-/** Time without stream content that is attributed to the upstream if it is also suspected unhealthy or has departed. */
+/** Time without stream content after which an upstream that has departed or is suspected unhealthy is abandoned. */
 private const val STALLED_STREAM_MILLIS = 1_500L
 
-/** Minimum time without stream content that is attributed to the upstream without any other indication. */
+/** Minimum time without stream content after which an upstream is abandoned without any other indication. */
 private const val DEAD_STREAM_MILLIS = 3_000L
 
 /**
  * Part of the latency target that may pass without stream content before an upstream suspected unhealthy is abandoned.
  */
-private const val FIRST_EVENT_RATIO = 0.45
+private const val SUSPECTED_STALL_TARGET_RATIO = 0.45
 
 /** Minimum time before the deadline for another attempt; with less, a response cannot arrive in time. */
 private const val MIN_REMAINING_MILLIS = 20L
@@ -47,7 +47,7 @@
     AttemptListener,
     QueuedRequest {
     override val rank: Int get() = request.rank
-    override val arrivedAtMillis: Long get() = waitingSinceMillis
+    override val queuedSinceMillis: Long get() = waitingSinceMillis
     override val onTimeUntilMillis: Long get() = request.arrivedAtMillis + route.latencyTargetMillis
     override val maxWaitMillis: Long
         get() = if (route.streaming) route.latencyTargetMillis / STREAM_MAX_WAIT_DIVISOR else CALL_MAX_WAIT_MILLIS
@@ -167,7 +167,7 @@
             upstream.departed -> sinceContentMillis > STALLED_STREAM_MILLIS
             upstream.isSuspectedUnhealthy ->
                 sinceContentMillis >
-                    minOf(STALLED_STREAM_MILLIS, (route.latencyTargetMillis * FIRST_EVENT_RATIO).toLong())
+                    minOf(STALLED_STREAM_MILLIS, (route.latencyTargetMillis * SUSPECTED_STALL_TARGET_RATIO).toLong())
             else -> sinceContentMillis > maxOf(DEAD_STREAM_MILLIS, route.latencyTargetMillis)
         }
     }
@@ -197,7 +197,7 @@
     }
 
     /**
-     * Discards a response, of which the caller has received nothing, and requests one from the larger model [index].
+     * Discards a response of which the caller has received nothing, and requests one from the larger model at [index].
      */
     private fun escalateTo(index: Int) {
         releaseAttempt(cancel = true)
@@ -222,9 +222,9 @@
         val head = response ?: return onFailed(AttemptEnd.Broken)
         val refusal = head.refusal(context.headerNames)
         when {
-            refusal != null -> refusedByUpstream(head, refusal)
+            refusal != null -> handleRefusal(head, refusal)
             !relay.isComplete(head) -> onFailed(AttemptEnd.Broken)
-            head.isFailure() && !relay.started && tryRetry() -> failedByUpstream(head)
+            head.isFailure() && !relay.started && tryRetry() -> retryAfterErrorResponse(head)
             else -> finish(head)
         }
     }
@@ -238,7 +238,7 @@
     }
 
     /** Retries on another upstream after an error response to an executed request. */
-    private fun failedByUpstream(head: HttpResponse) {
+    private fun retryAfterErrorResponse(head: HttpResponse) {
         recordOutcome(good = false)
         context.logExchange(this, "upstream_failed_request", mapOf("status" to head.status().code()))
         target?.let { excluded += it.upstream.id }
@@ -247,7 +247,7 @@
     }
 
     /** Handles a response which states that the upstream has not executed the request and will not execute it. */
-    private fun refusedByUpstream(
+    private fun handleRefusal(
         head: HttpResponse,
         refusal: UpstreamRefusal,
     ) {
@@ -364,7 +364,7 @@
     }
 
     override fun onCallerWritable(writable: Boolean) {
-        attempt?.pauseReading(!writable)
+        attempt?.setReadingPaused(!writable)
     }
 
     private fun end(
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamConnections.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamConnections.kt
@@ -97,7 +97,7 @@
         connection = channel
     }
 
-    fun pauseReading(paused: Boolean) {
+    fun setReadingPaused(paused: Boolean) {
         connection?.config()?.isAutoRead = !paused
     }
 
@@ -173,8 +173,8 @@
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
             .handler(initializer(connection))
             .connect(address.host, address.port)
-            .addListener { opening ->
-                if (opening.isSuccess) {
+            .addListener { future ->
+                if (future.isSuccess) {
                     connection.start(attempt)
                 } else {
                     connectFailed(attempt)
@@ -213,7 +213,7 @@
         private var keepAliveMillis = DEFAULT_KEEP_ALIVE_MILLIS
         private var attempt: Attempt? = null
         private var response: HttpResponse? = null
-        private var mismatched = false
+        private var ignoringResponse = false
         private var reused = false
         private var received = false
         private var reusable = true
@@ -249,36 +249,36 @@
                     ReferenceCountUtil.release(message)
                     channel.close()
                 }
-                message is HttpResponse && message.decoderResult().isFailure -> breakOff(message)
+                message is HttpResponse && message.decoderResult().isFailure -> closeAsBroken(message)
                 message is HttpResponse -> {
-                    head(current, message)
-                    if (message is HttpContent) body(current, message)
+                    receiveHead(current, message)
+                    if (message is HttpContent) receiveBody(current, message)
                 }
-                message is HttpContent && message.decoderResult().isFailure -> breakOff(message)
-                message is HttpContent -> body(current, message)
+                message is HttpContent && message.decoderResult().isFailure -> closeAsBroken(message)
+                message is HttpContent -> receiveBody(current, message)
                 else -> ReferenceCountUtil.release(message)
             }
         }
 
-        private fun breakOff(message: Any) {
+        private fun closeAsBroken(message: Any) {
             ReferenceCountUtil.release(message)
             broken = true
             channel.close()
         }
 
-        private fun head(
+        private fun receiveHead(
             current: Attempt,
             head: HttpResponse,
         ) {
             val responseAttemptId = head.headers()[current.attemptIdHeader]
             val informational = head.status().codeClass() == HttpStatusClass.INFORMATIONAL
-            mismatched =
+            ignoringResponse =
                 informational ||
                 (
                     responseAttemptId != null &&
                         responseAttemptId != current.request.headers()[current.attemptIdHeader]
                 )
-            if (mismatched) {
+            if (ignoringResponse) {
                 if (!informational) reusable = false
                 return
             }
@@ -291,11 +291,11 @@
         private fun isFramed(head: HttpResponse) =
             HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head)
 
-        private fun body(
+        private fun receiveBody(
             current: Attempt,
             content: HttpContent,
         ) {
-            if (mismatched) {
+            if (ignoringResponse) {
                 content.release()
                 return
             }
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/WaitQueue.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/WaitQueue.kt
@@ -12,12 +12,13 @@
  * Describes a queued request.
  *
  * @property rank urgency, 0 is the most urgent
+ * @property queuedSinceMillis time at which the request began to wait for an upstream
  * @property onTimeUntilMillis time after which a response misses the latency target
  * @property maxWaitMillis maximum time in the queue after which a useful response can still be expected
  */
 internal interface QueuedRequest {
     val rank: Int
-    val arrivedAtMillis: Long
+    val queuedSinceMillis: Long
     val onTimeUntilMillis: Long
     val maxWaitMillis: Long
 }
@@ -52,11 +53,11 @@
     /** Removes and returns the requests that have reached their maximum wait. */
     fun expired(): List<W> {
         val now = nowMillis()
-        val timedOut = queued.filter { now - it.arrivedAtMillis >= it.maxWaitMillis }
+        val timedOut = queued.filter { now - it.queuedSinceMillis >= it.maxWaitMillis }
         queued.removeAll(timedOut.toSet())
         return timedOut
     }
 
     private fun order(now: Long): Comparator<W> =
-        compareBy({ it.rank }, { now > it.onTimeUntilMillis }, { it.arrivedAtMillis })
+        compareBy({ it.rank }, { now > it.onTimeUntilMillis }, { it.queuedSinceMillis })
 }
--- a/gateway/src/test/kotlin/io/carawaytrack/gateway/WaitQueueTest.kt
+++ b/gateway/src/test/kotlin/io/carawaytrack/gateway/WaitQueueTest.kt
@@ -17,16 +17,16 @@
     private data class Request(
         val name: String,
         override val rank: Int = 1,
-        override val arrivedAtMillis: Long = 0,
+        override val queuedSinceMillis: Long = 0,
         override val onTimeUntilMillis: Long = 10_000,
         override val maxWaitMillis: Long = 5_000,
     ) : QueuedRequest
 
     @TestFactory
     fun `queued requests are offered in order`(): List<DynamicTest> = listOf(
-        "by arrival" to listOf(Request("b", arrivedAtMillis = 2), Request("a", arrivedAtMillis = 1)),
-        "urgent requests first" to listOf(Request("b", rank = 2), Request("a", rank = 0, arrivedAtMillis = 9)),
-        "late requests last" to listOf(Request("b", onTimeUntilMillis = 500), Request("a", arrivedAtMillis = 9)),
+        "by arrival" to listOf(Request("b", queuedSinceMillis = 2), Request("a", queuedSinceMillis = 1)),
+        "urgent requests first" to listOf(Request("b", rank = 2), Request("a", rank = 0, queuedSinceMillis = 9)),
+        "late requests last" to listOf(Request("b", onTimeUntilMillis = 500), Request("a", queuedSinceMillis = 9)),
     ).map { (name, requests) ->
         dynamicTest(name) {
             val queue = WaitQueue<Request> { nowMillis }
@@ -41,9 +41,9 @@
     fun `requests that aren't accepted stay queued, as does one added during the offer`() {
         val queue = WaitQueue<Request> { nowMillis }
         queue.add(Request("a"))
-        queue.add(Request("b", arrivedAtMillis = 1))
+        queue.add(Request("b", queuedSinceMillis = 1))
         queue.offer { request ->
-            if (request.name == "a") queue.add(Request("c", arrivedAtMillis = 2))
+            if (request.name == "a") queue.add(Request("c", queuedSinceMillis = 2))
             request.name == "a"
         }
         val remaining = ArrayList<String>()
