--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Dispatcher.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Dispatcher.kt
@@ -31,13 +31,13 @@
     private val nowMillis: () -> Long,
 ) : ExchangeContext {
     private val budgets = RetryBudgets(settings.retries, { upstreams.hosts }, nowMillis)
-    private val models = ModelPolicy(nowMillis)
+    private val modelPolicy = ModelPolicy(nowMillis)
     private val log = RequestLog(nowMillis)
     private val queue = WaitQueue<Exchange>(nowMillis)
     private val active = LinkedHashSet<Exchange>()
 
     /** Version of the configuration in force, included in log events. */
-    var configuration: Long? = null
+    var configurationVersion: Long? = null
 
     val unfinished: Int get() = active.size
     val waiting: Int get() = queue.size
@@ -57,7 +57,7 @@
         if (draining && request.route.streaming) {
             return exchange.fail(ErrorKind.ShuttingDown.notRun(retryAfterMillis = SHUTDOWN_RETRY_AFTER_MILLIS))
         }
-        if (request.gatewayChoosesModel) exchange.modelIndex = models.firstModel(request.route, pool)
+        if (request.gatewayChoosesModel) exchange.modelIndex = modelPolicy.firstModel(request.route, pool)
         budgets.recordRequest(pool.name)
         enqueue(exchange)
     }
@@ -66,11 +66,11 @@
     fun tick() {
         active.toList().forEach { it.tick() }
         queue.expired().forEach { it.fail(poolExhausted(it)) }
-        offerWaiting()
+        sendQueued()
     }
 
     /** Sends queued requests for which there is free capacity. */
-    fun offerWaiting() = queue.offer { it.phase != ExchangePhase.Waiting || tryPlace(it) }
+    fun sendQueued() = queue.offer { it.phase != ExchangePhase.Waiting || tryPlace(it) }
 
     override fun tryRetry(exchange: Exchange): Boolean = exchange.pool?.let { budgets.tryRetry(it.name) } == true
 
@@ -154,7 +154,7 @@
     private fun recordWait(exchange: Exchange) {
         val request = exchange.request
         if (!request.gatewayChoosesModel || exchange.modelIndex != request.route.models.lastIndex) return
-        models.recordWait(request.route, nowMillis() - exchange.sentAtMillis)
+        modelPolicy.recordWait(request.route, nowMillis() - exchange.sentAtMillis)
     }
 
     /** Returns the outcomes of each running roll-out so far, including unfinished attempts. */
@@ -173,7 +173,7 @@
     ) {
         val request = exchange.request
         if (confidence != null && request.gatewayChoosesModel) {
-            models.recordConfidence(request.route, exchange.modelIndex, request.demand, confidence)
+            modelPolicy.recordConfidence(request.route, exchange.modelIndex, request.demand, confidence)
             recordWait(exchange)
         }
     }
@@ -191,7 +191,7 @@
         }
         val onTimeRemainingMillis = exchange.onTimeUntilMillis - nowMillis()
         val escalatedTo =
-            models.escalationTarget(
+            modelPolicy.escalationTarget(
                 request.route,
                 exchange.modelIndex,
                 request.demand,
@@ -213,7 +213,7 @@
         exchange: Exchange,
         event: String,
         detail: Map<String, Any?>,
-    ) = log.write(event, exchange, configuration, detail)
+    ) = log.write(event, exchange, configurationVersion, detail)
 
     override fun exchangeEnded(outcome: ExchangeOutcome) {
         val exchange = outcome.exchange
@@ -221,7 +221,7 @@
         queue.remove(exchange)
         meters.requestEnded(outcome.summary(nowMillis()))
         if (outcome.isComplete && exchange.events > 0) {
-            models.recordOutputLength(exchange.request.route, exchange.events * TOKENS_PER_EVENT)
+            modelPolicy.recordOutputLength(exchange.request.route, exchange.events * TOKENS_PER_EVENT)
         }
         val ordinary = outcome.isComplete && exchange.attempts == 1
         if (!ordinary ||
@@ -229,6 +229,6 @@
         ) {
             logExchange(exchange, "request_ended", outcome.fields(nowMillis()))
         }
-        offerWaiting()
+        sendQueued()
     }
 }
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Gateway.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Gateway.kt
@@ -41,11 +41,12 @@
 internal const val NO_UPSTREAM_RETRY_AFTER_MILLIS = 800L
 
 /**
- * Settings of a gateway.
+ * Configures a gateway.
  *
  * @property callers address on which callers are accepted
  * @property zone availability zone of this host
  * @property retries limits on the retries that all hosts together may send to a service
+ * @property rollouts limits on the exposure of requests to a bad version
  */
 public data class GatewaySettings(
     val callers: HostPort,
@@ -98,7 +99,7 @@
     public fun updateUpstream(known: KnownUpstream)
 
     /** Handles the deregistration of an upstream. */
-    public fun removeUpstream(departure: Deregistration)
+    public fun removeUpstream(deregistration: Deregistration)
 
     /** Sets the number of [hosts] that share the upstreams' limits. */
     public fun setHostCount(hosts: Int)
@@ -130,9 +131,9 @@
     knownUpstreams: () -> Collection<KnownUpstream>,
     meters: GatewayMeters = GatewayMeters(),
     nowMillis: () -> Long,
-): Gateway = LoopGateway(settings, headerNames, group, knownUpstreams, meters, nowMillis).also { it.start() }
+): Gateway = EventLoopGateway(settings, headerNames, group, knownUpstreams, meters, nowMillis).also { it.start() }
 
-private class LoopGateway(
+private class EventLoopGateway(
     private val settings: GatewaySettings,
     private val headerNames: HeaderNames,
     group: EventLoopGroup,
@@ -143,7 +144,7 @@
     private val callers =
         CallerConnections(
             group,
-            CallerEvents(::accept, ::malformed, { catalog?.limits ?: CallerLimits() }, { draining }),
+            CallerEvents(::accept, ::refuseMalformed, { catalog?.limits ?: CallerLimits() }, { draining }),
             nowMillis,
         )
     private val connections = UpstreamConnections(group, nowMillis)
@@ -153,34 +154,34 @@
     private var catalog: Catalog? = null
     private var draining = false
     private var ticks = 0L
-    private var listening: Channel? = null
+    private var serverChannel: Channel? = null
 
     override val unfinished: Int get() = dispatcher.unfinished
 
     override val waiting: Int get() = dispatcher.waiting
 
     fun start() {
-        listening = callers.listen(settings.callers)
+        serverChannel = callers.listen(settings.callers)
     }
 
     override fun apply(catalog: Catalog) {
         this.catalog = catalog
-        dispatcher.configuration = catalog.version
+        dispatcher.configurationVersion = catalog.version
     }
 
     override fun apply(view: FleetView) {
         upstreams.apply(view) { pool -> catalog?.pools?.get(pool)?.coldStartMillis ?: 0 }
-        dispatcher.offerWaiting()
+        dispatcher.sendQueued()
     }
 
     override fun updateUpstream(known: KnownUpstream) {
         upstreams.update(known)
         logEvent("upstream_changed", fieldsOf(known.upstream))
-        dispatcher.offerWaiting()
+        dispatcher.sendQueued()
     }
 
-    override fun removeUpstream(departure: Deregistration) {
-        if (upstreams.remove(departure)) logEvent("upstream_gone", mapOf("upstream" to departure.id.value))
+    override fun removeUpstream(deregistration: Deregistration) {
+        if (upstreams.remove(deregistration)) logEvent("upstream_gone", mapOf("upstream" to deregistration.id.value))
     }
 
     override fun setHostCount(hosts: Int) {
@@ -196,7 +197,7 @@
 
     override fun drain() {
         draining = true
-        listening?.close()
+        serverChannel?.close()
         callers.closeIdle()
     }
 
@@ -240,7 +241,7 @@
         return share?.let { inForce.pools[it.pool] }
     }
 
-    private fun malformed(
+    private fun refuseMalformed(
         caller: CallerConnection,
         status: HttpResponseStatus,
     ) {
@@ -277,7 +278,7 @@
     }
 
     override fun close() {
-        listening?.close()
+        serverChannel?.close()
     }
 }
 
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/RequestLog.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/RequestLog.kt
@@ -1,5 +1,5 @@
 /*
- * Log events about requests. Refusals, failures and retries are always logged, up to a limit for each second. Ordinary
+ * Log events about requests. Refusals, failures and retries are always logged, up to a limit per second. Ordinary
  * requests are sampled by a hash of their identifier, so that every host logs the same requests.
  */
 package io.carawaytrack.gateway
@@ -28,10 +28,10 @@
     fun write(
         event: String,
         exchange: Exchange,
-        configuration: Long?,
+        configurationVersion: Long?,
         detail: Map<String, Any?>,
     ) {
-        if (!mayWrite()) return
+        if (!tryAcquireLine()) return
         val request = exchange.request
         val target = exchange.target
         val common =
@@ -41,7 +41,7 @@
                 "organisation" to request.organisation?.name?.value,
                 "upstream" to target?.upstream?.id?.value,
                 "modelIndex" to exchange.modelIndex,
-                "configuration" to configuration,
+                "configuration" to configurationVersion,
                 "heardMillisAgo" to target?.let { nowMillis() - it.announcedAtMillis },
                 "load" to target?.estimatedLoad(),
             )
@@ -51,7 +51,7 @@
     /** Returns whether the ordinary request [id] is part of the sample. */
     fun isSampled(id: String): Boolean = (unitHash(id) * SAMPLE_INTERVAL).toInt() == 0
 
-    private fun mayWrite(): Boolean {
+    private fun tryAcquireLine(): Boolean {
         val now = nowMillis() / MILLIS_PER_SECOND
         if (now != second) {
             if (lines > MAX_LINES_PER_SECOND) logEvent("lines_dropped", mapOf("lines" to lines - MAX_LINES_PER_SECOND))
