--- a/consensus/src/test/kotlin/io/carawaytrack/consensus/ReplicaTest.kt
+++ b/consensus/src/test/kotlin/io/carawaytrack/consensus/ReplicaTest.kt
@@ -1,5 +1,5 @@
 /*
- * Behaviour of a group under a single fault.
+ * Tests a group of replicas in normal operation and under specific faults.
  */
 package io.carawaytrack.consensus
 
@@ -72,7 +72,7 @@
     }
 
     @TestFactory
-    fun `a partitioned leader confirms nothing and the others elect a new leader`() =
+    fun `a partitioned leader confirms no read, acknowledges no command and is replaced by a new leader`() =
         listOf<Pair<String, (TestGroup, Host, Host) -> Unit>>(
             "neither sends nor receives" to { group, leader, other ->
                 group.block(leader, other).also { group.block(other, leader) }
@@ -130,7 +130,7 @@
     }
 
     @Test
-    fun `a leader that resumes after a pause confirms nothing once another was elected`() {
+    fun `a leader that resumes after a pause confirms no read once another has been elected`() {
         val old = group.electLeader()
         old.paused = true
         val confirmation = group.confirm(old)
@@ -145,7 +145,7 @@
     }
 
     @Test
-    fun `a confirmed read sees everything acknowledged before it`() {
+    fun `a confirmed read includes every command acknowledged before it`() {
         val leader = group.electLeader()
         group.commit(listOf("a"))
         val first = group.confirm(leader)
@@ -207,9 +207,9 @@
     @Test
     fun `a host that lost its disk does not vote under its old identity`() {
         val leader = group.electLeader()
-        val (behind, wiped) = leader.followers
+        val (lagging, wiped) = leader.followers
         group.run(millis = 500)
-        group.isolate(behind)
+        group.isolate(lagging)
         group.commit(listOf("kept"))
         group.crash(leader)
         group.loseDisk(wiped)
@@ -219,18 +219,18 @@
         group.run(millis = 5_000)
         expectThat(group.leader()).isNull()
         group.restart(leader)
-        group.runUntilAllApplied(listOf("kept"), on = listOf(leader, behind))
+        group.runUntilAllApplied(listOf("kept"), on = listOf(leader, lagging))
     }
 
     @Test
     fun `a host that is far behind catches up through a snapshot in chunks`() {
         val leader = group.electLeader()
-        val behind = leader.followers.first()
-        group.isolate(behind)
+        val lagging = leader.followers.first()
+        group.isolate(lagging)
         group.commit(commands(300))
         group.heal()
         group.runUntilAllApplied(commands(300))
-        group.restart(behind)
+        group.restart(lagging)
         group.runUntilAllApplied(commands(300))
     }
 
@@ -238,8 +238,8 @@
     fun `every message is smaller than 512 KiB`() {
         val group = TestGroup(seed = 3, settings = ReplicaSettings(snapshotEveryEntries = 20, keptEntries = 5))
         val leader = group.electLeader()
-        val behind = (group.hosts.values - leader).first()
-        group.isolate(behind)
+        val lagging = (group.hosts.values - leader).first()
+        group.isolate(lagging)
         val large = (1..30).map { "$it ".padEnd(250 * 1024, 'x') }
         val small = (1..2_000).map { "s$it" }
         group.commit(large)
@@ -247,7 +247,7 @@
             group.runUntil("commits") { calls.all(Call::succeeded) }
         }
         group.heal()
-        group.runUntil("the host behind to catch up") { behind.stateMachine.applied.size == 2_030 }
+        group.runUntil("the lagging host to catch up") { lagging.stateMachine.applied.size == 2_030 }
         expectThat(group.largestMessageBytes).isLessThan(512 * 1024)
     }
 
--- a/control/src/main/kotlin/io/carawaytrack/control/ConfigurationRules.kt
+++ b/control/src/main/kotlin/io/carawaytrack/control/ConfigurationRules.kt
@@ -22,8 +22,8 @@
 
 /**
  * Returns the configuration after [change], with its number incremented by one. Fails with `NotFound` for a name that
- * does not exist and with `MalformedRequest` for a value out of range. [configurationAt] returns the retained
- * configuration that was in force under a number, or null if there is none.
+ * does not exist or a configuration that is not retained, and with `MalformedRequest` for a percentage out of range.
+ * [configurationAt] returns the retained configuration with the given number, or null if there is none.
  */
 internal fun Configuration.after(
     change: ConfigurationChange,
--- a/control/src/test/kotlin/io/carawaytrack/control/ControlStateTest.kt
+++ b/control/src/test/kotlin/io/carawaytrack/control/ControlStateTest.kt
@@ -67,7 +67,7 @@
 
 class ControlStateTest {
     @Test
-    fun `of two changes with the same base number, the second is refused and names the operator of the first`() {
+    fun `of two changes with the same base number, the second is refused and its refusal names the first operator`() {
         val state = ControlState()
         expectThat(state.change("a", zone("z1"), base = 0, operator = "asha")).isEqualTo(accepted(1))
         val conflicting = state.change("b", zone("z2"), base = 0, operator = "bina")
@@ -85,11 +85,11 @@
         state.change("a", zone("z1"), base = 0)
         val refused = state.change("b", zone("z2"), base = 0)
         state.change("c", zone("z1", inService = true), base = 1)
-        listOf(state, state.restarted()).forEach { host ->
-            expectThat(host.change("a", zone("z1"), base = 0)).isEqualTo(accepted(1, repeated = true))
-            expectThat(host.change("b", zone("z2"), base = 0)).isEqualTo(refused)
-            expectThat(host.configuration.number).isEqualTo(2)
-            expectThat(host.configuration.zonesOut).isEqualTo(emptySet())
+        listOf(state, state.restarted()).forEach { instance ->
+            expectThat(instance.change("a", zone("z1"), base = 0)).isEqualTo(accepted(1, repeated = true))
+            expectThat(instance.change("b", zone("z2"), base = 0)).isEqualTo(refused)
+            expectThat(instance.configuration.number).isEqualTo(2)
+            expectThat(instance.configuration.zonesOut).isEqualTo(emptySet())
         }
     }
 
@@ -99,24 +99,24 @@
             val random = Random(seed)
             val observedNumbers = mutableListOf(0L)
             val onConfiguration = { inForce: Configuration -> observedNumbers += inForce.number }
-            val steady = ControlState()
+            val uninterrupted = ControlState()
             var restarting = ControlState(onConfiguration)
             repeat(CHANGES) { step ->
                 val change = randomChange(random, step)
-                val base = if (random.nextInt(4) == 0) steady.configuration.number - random.nextInt(2) else null
+                val base = if (random.nextInt(4) == 0) uninterrupted.configuration.number - random.nextInt(2) else null
                 val operation = "op-${if (random.nextInt(8) == 0) random.nextInt(step + 1) else step}"
-                val expected = steady.change(operation, change, base)
+                val expected = uninterrupted.change(operation, change, base)
                 expectThat(restarting.change(operation, change, base)).isEqualTo(expected)
                 if (random.nextInt(10) == 0) {
                     restarting = ControlState(onConfiguration).also { it.restore(restarting.snapshot()) }
                 }
             }
-            expectThat(restarting.configuration).describedAs("seed $seed").isEqualTo(steady.configuration)
+            expectThat(restarting.configuration).describedAs("seed $seed").isEqualTo(uninterrupted.configuration)
             expectThat(observedNumbers.zipWithNext().all { (earlier, later) -> earlier <= later })
                 .describedAs("numbers never decrease with seed $seed")
                 .isTrue()
-            val numbers = steady.historyFrom(0).map { it.number }
-            expectThat(numbers).isEqualTo((1..steady.configuration.number).toList())
+            val numbers = uninterrupted.historyFrom(0).map { it.number }
+            expectThat(numbers).isEqualTo((1..uninterrupted.configuration.number).toList())
         }
     }
 
@@ -196,7 +196,7 @@
                 ErrorKind.MalformedRequest,
             ),
             InvalidChange(
-                "a step of a roll-out that does not exist",
+                "a phase change of a roll-out that does not exist",
                 ConfigurationChange.AdvanceRollout("none", RolloutPhase.Running),
                 ErrorKind.NotFound,
             ),
