--- a/process/src/main/kotlin/io/carawaytrack/process/GracefulStop.kt
+++ b/process/src/main/kotlin/io/carawaytrack/process/GracefulStop.kt
@@ -10,7 +10,7 @@
 private val stopSignals = listOf("TERM", "INT")
 
 /**
- * Runs [serve] until it returns. Its argument suspends until the process receives a signal to stop.
+ * Runs [serve] until it returns. The function passed to [serve] suspends until the process receives SIGTERM or SIGINT.
  *
  * The signal handlers replace those of the JVM, which run all shutdown hooks concurrently: the hook of an HTTP server
  * would cut off answers that are still being sent.
--- a/replay/src/main/kotlin/io/carawaytrack/replay/Replay.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Replay.kt
@@ -1,9 +1,9 @@
 /*
- * Runs every policy on the same trace, runs the reference trace that the targets need, and builds the report.
+ * Runs the selected policies on the same trace, runs the reference trace that the targets need, and builds the report.
  */
 package io.carawaytrack.replay
 
-/** The report of a replay and the runs that it summarizes. */
+/** Holds the report of a replay and the runs that it summarizes. */
 internal class Replay(
     val report: Report,
     val runs: List<RunResult>,
--- a/routing/src/main/kotlin/io/carawaytrack/routing/Planner.kt
+++ b/routing/src/main/kotlin/io/carawaytrack/routing/Planner.kt
@@ -1,6 +1,6 @@
 /*
  * Request planning, the first decision of an entry for each request: which versions may run it and in which order. The
- * planner has no side effects outside itself; the source of randomness and the observations are passed in.
+ * planner changes only its own estimates; the source of randomness and the observations are passed in.
  */
 package io.carawaytrack.routing
 
@@ -99,11 +99,11 @@
  * Configures the planner.
  *
  * @property zScore standard errors by which a plan's quality must exceed the target; 1.645 is a confidence of 95 %
- * @property priorRatings number of ratings that the operator's expected quality weighs as much as
+ * @property priorRatings weight of the operator's expected quality, as an equivalent number of ratings
  * @property provenAfterRatings ratings from which a version counts as proven on a route
  * @property decayRatings ratings after which the weight of an observation has fallen to about 37 %
- * @property newVersionShare share of requests, 0 to 1, that try versions which are not proven yet
- * @property recheckShare share of requests, 0 to 1, that try proven versions which the best plan does not use
+ * @property newVersionShare share of requests, 0 to 1, that try cheaper versions which are not proven yet
+ * @property recheckShare share of requests, 0 to 1, that try cheaper proven versions which the best plan does not use
  * @property promisingShare share of requests, 0 to 1, that use a cheaper plan whose expected quality meets the target,
  * whatever its confidence
  * @property maxUnratedRequests requests planned for a version on trial without a new rating, after which trials stop
@@ -124,7 +124,7 @@
     val minCascadeSavingRatio: Double = 0.1,
 )
 
-/** Creates a thread-safe planner that draws roll-out shares, weights and trials from [random]. */
+/** Creates a thread-safe planner that uses [random] for roll-out shares, choices by weight, and trials. */
 public fun Planner(
     random: Random,
     settings: PlannerSettings = PlannerSettings(),
--- a/storage/src/main/kotlin/io/carawaytrack/storage/Disk.kt
+++ b/storage/src/main/kotlin/io/carawaytrack/storage/Disk.kt
@@ -1,6 +1,7 @@
 /*
  * The interface to the disk that the log store writes to, and the failures that storage calls report. A disk is one
- * flat folder of files. Data is only guaranteed to be stored once a call that makes it durable has returned.
+ * flat folder of files. Data is guaranteed to survive a crash only once a call that makes it durable has
+ * returned.
  */
 package io.carawaytrack.storage
 
@@ -34,7 +35,7 @@
     public fun sync()
 }
 
-/** A failure of a storage call. */
+/** Describes why a storage call failed. */
 public sealed interface StorageFailure {
     /** Describes what was expected and what was found. */
     public val detail: String
--- a/tables/src/main/kotlin/io/carawaytrack/tables/TableReader.kt
+++ b/tables/src/main/kotlin/io/carawaytrack/tables/TableReader.kt
@@ -1,6 +1,6 @@
 /*
- * Reads the two tables from the files of operators. The reader checks only types; TableChecks.kt validates the values,
- * and the file and line are added to its faults here.
+ * Reads the two tables from the operator's files. The reader checks only types. TableChecks.kt validates the values;
+ * the reader adds the file and line to the faults found there.
  */
 package io.carawaytrack.tables
 
@@ -20,7 +20,7 @@
 import io.carawaytrack.model.UpstreamId
 import java.nio.file.Path
 
-/** Provides the defaults of the optional keys of a row. */
+// Rows that supply the defaults of optional keys.
 private val defaultOrganisation = Organisation(OrganisationName(""), emptyList(), emptyList())
 private val defaultRoute = Route("", ServiceKind.Model, emptyList(), "", null, emptyList(), PoolName(""))
 private val defaultMember = PoolMember(ModelVersion("", ""))
@@ -70,8 +70,8 @@
 ) {
     /** Returns [fault] with its file and line, or null if the reader has already reported the same key. */
     fun locate(fault: Fault): Fault? {
-        val known = result.faults.any { it.key == fault.key || it.key.startsWith("${fault.key}[") }
-        if (known) return null
+        val alreadyReported = result.faults.any { it.key == fault.key || it.key.startsWith("${fault.key}[") }
+        if (alreadyReported) return null
         return fault.copy(file = file.toString(), line = lineOf(fault.key))
     }
 
@@ -84,7 +84,7 @@
     routes = rows("route") { route() },
 )
 
-/** Reads at least one row, because a file without rows is more likely a mistake than intended. */
+/** Reads the rows of [key]; reports a fault if there are none, because that is more likely a mistake than intended. */
 private fun <T : Any> TomlReader.rows(
     key: String,
     read: TomlReader.() -> T,
