--- a/replay/src/main/kotlin/io/carawaytrack/replay/Measures.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Measures.kt
@@ -4,6 +4,7 @@
 package io.carawaytrack.replay
 
 import io.carawaytrack.model.ServiceKind
+import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 import org.HdrHistogram.Histogram
 
@@ -33,12 +34,13 @@
  *
  * @property cost mean price of an answered model request
  * @property smallOrganisationsUnserved model requests of small organisations that were refused or failed
- * @property fastReadersUnserved model requests of callers that read at once that were refused or failed
+ * @property fastReaders latency of answered model requests whose callers read the answer without delay
+ * @property fastReadersUnserved model requests of such callers that were refused or failed
  * @property exposed requests that completed on a degraded version
- * @property refusedAtGate requests that agents rejected because no permit was free
- * @property tippedOver times that a cold engine exceeded its stream limit
- * @property busyShare highest utilization of an upstream: processed tokens relative to its maximum throughput, over the
- *   complete run
+ * @property rejectedByAgents requests that agents rejected because no permit was free
+ * @property coldOverloads times that a cold engine exceeded its stream limit
+ * @property peakUtilization highest utilization of an upstream: processed tokens relative to its maximum throughput,
+ *   over the complete run
  */
 @Serializable
 public data class Measures(
@@ -54,9 +56,9 @@
     val fastReaders: Quantiles,
     val fastReadersUnserved: Int,
     val exposed: Int,
-    val refusedAtGate: Int,
-    val tippedOver: Int,
-    val busyShare: Double,
+    @SerialName("refusedAtGate") val rejectedByAgents: Int,
+    @SerialName("tippedOver") val coldOverloads: Int,
+    @SerialName("busyShare") val peakUtilization: Double,
     val routes: List<RouteMeasures>,
 ) {
     /** Whether the mean true quality of every route reaches its target. */
@@ -82,9 +84,9 @@
         fastReadersUnserved = outcomes.unserved { it.readMillis == 0L },
         fastReaders = quantiles(answered.filter { it.request.readMillis == 0L }) { it.latencyMillis },
         exposed = run.outcomes.count { it.exposed },
-        refusedAtGate = run.rejectedByAgents,
-        tippedOver = run.coldOverloads,
-        busyShare = peakUtilization(run, spec),
+        rejectedByAgents = run.rejectedByAgents,
+        coldOverloads = run.coldOverloads,
+        peakUtilization = peakUtilization(run, spec),
         routes =
             models.map { route ->
                 val routeOutcomes = answered.filter { it.request.route == route.name }
--- a/replay/src/main/kotlin/io/carawaytrack/replay/Report.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Report.kt
@@ -48,9 +48,9 @@
     measures.firstToken.p50Millis,
     measures.firstToken.p99Millis,
     measures.exposed,
-    measures.refusedAtGate,
-    measures.tippedOver,
-    measures.busyShare,
+    measures.rejectedByAgents,
+    measures.coldOverloads,
+    measures.peakUtilization,
 )
 
 private fun routeLines(measures: Measures): String = measures.routes.joinToString("") {
--- a/replay/src/main/kotlin/io/carawaytrack/replay/Targets.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Targets.kt
@@ -89,8 +89,8 @@
 
 private fun coldStartCheck(inputs: TargetInputs): TargetCheck = TargetCheck(
     "a cold upstream never receives more than its cold capacity",
-    "${inputs.current.tippedOver} times exceeded, ${inputs.current.refusedAtGate} rejected by agents",
-    inputs.current.tippedOver == 0,
+    "${inputs.current.coldOverloads} times exceeded, ${inputs.current.rejectedByAgents} rejected by agents",
+    inputs.current.coldOverloads == 0,
 )
 
 private fun fastReadersCheck(inputs: TargetInputs): TargetCheck = latencyCheck(
