--- a/fleet/src/main/kotlin/io/carawaytrack/fleet/RolloutPolicy.kt
+++ b/fleet/src/main/kotlin/io/carawaytrack/fleet/RolloutPolicy.kt
@@ -1,6 +1,6 @@
 /*
- * Progress of a roll-out: the share of new sessions that the new version receives over time, and the observations that
- * cause a rollback. The policy is designed for a service with a few tens of requests per second, where a third or more
+ * Progress of a roll-out: the fraction of new sessions that the new version receives over time, and the observations
+ * that cause a rollback. The policy is designed for a service with a few tens of requests per second, where a third or more
  * of the new version's responses may fail or take several times as long, from the start, later, or on a single route.
  */
 package io.carawaytrack.fleet
@@ -11,18 +11,18 @@
 /**
  * Limits on the exposure of requests to a bad version.
  *
- * @property exposureShare maximum share of the service's requests that a bad version may receive
- * @property exposureSlack number of requests that it may receive beyond that share
+ * @property exposureRatio maximum fraction of the service's requests that a bad version may receive
+ * @property exposureSlack number of requests that it may receive beyond that fraction
  */
 public data class RolloutBounds(
-    val exposureShare: Double = 0.15,
+    val exposureRatio: Double = 0.15,
     val exposureSlack: Int = 30,
 )
 
-/** Share of new sessions in the first half of a roll-out, as a ratio of the allowed exposure. */
+/** Fraction of new sessions in the first half of a roll-out, as a ratio of the allowed exposure. */
 private const val FIRST_HALF_EXPOSURE_RATIO = 0.5
 
-/** Share of new sessions in the second half, as a ratio of the allowed exposure. */
+/** Fraction of new sessions in the second half, as a ratio of the allowed exposure. */
 private const val SECOND_HALF_EXPOSURE_RATIO = 0.85
 
 /** Time before the end at which a version without detected faults receives all requests. */
@@ -97,8 +97,8 @@
 private fun List<RouteTally>.mergedByRoute(): List<RouteTally> =
     groupBy { it.route }.values.map { tallies -> tallies.reduce(RouteTally::plus) }
 
-/** Returns the share of new sessions, 0 to 1, that the new version receives [elapsedMillis] after the start. */
-public fun FleetRollout.newVersionShareAt(
+/** Returns the fraction of new sessions, 0 to 1, that the new version receives [elapsedMillis] after the start. */
+public fun FleetRollout.newVersionRatioAt(
     elapsedMillis: Long,
     bounds: RolloutBounds,
 ): Double = when (phase) {
@@ -106,9 +106,9 @@
     FleetRolloutPhase.RolledBack -> 0.0
     FleetRolloutPhase.Running ->
         if (elapsedMillis * 2 < durationMillis) {
-            bounds.exposureShare * FIRST_HALF_EXPOSURE_RATIO
+            bounds.exposureRatio * FIRST_HALF_EXPOSURE_RATIO
         } else {
-            bounds.exposureShare * SECOND_HALF_EXPOSURE_RATIO
+            bounds.exposureRatio * SECOND_HALF_EXPOSURE_RATIO
         }
 }
 
--- a/fleet/src/test/kotlin/io/carawaytrack/fleet/RolloutPolicyTest.kt
+++ b/fleet/src/test/kotlin/io/carawaytrack/fleet/RolloutPolicyTest.kt
@@ -120,7 +120,7 @@
 
     @Test
     fun `a bad version receives no more than its allowed share of requests`() {
-        val bounds = RolloutBounds(exposureShare = 0.15, exposureSlack = 30)
+        val bounds = RolloutBounds(exposureRatio = 0.15, exposureSlack = 30)
         listOf(1L, 2L, 3L, 4L, 5L).forEach { seed ->
             val random = Random(seed)
             var exposed = 0
@@ -129,7 +129,7 @@
             var current = rollout
             for (millis in 0 until DURATION_MILLIS step 30) {
                 all++
-                val new = random.nextDouble() < current.newVersionShareAt(millis, bounds)
+                val new = random.nextDouble() < current.newVersionRatioAt(millis, bounds)
                 if (new) exposed++
                 val failed = if (new && random.nextDouble() < 0.4) 1 else 0
                 val attempt = RouteTally("r", good = 1 - failed, failed = failed, timeMillis = 100)
@@ -138,7 +138,7 @@
                 current.nextPhase(tally, millis, newVersionReady = true)?.let { current = current.copy(phase = it) }
             }
             expectThat(current.phase).isEqualTo(FleetRolloutPhase.RolledBack)
-            expectThat(exposed.toDouble()).isLessThanOrEqualTo(all * bounds.exposureShare + bounds.exposureSlack)
+            expectThat(exposed.toDouble()).isLessThanOrEqualTo(all * bounds.exposureRatio + bounds.exposureSlack)
         }
     }
 
@@ -151,7 +151,7 @@
             val started = ArrayList<Triple<Long, Long, Boolean>>()
             var rolledBackAtMillis = Long.MAX_VALUE
             for (millis in 0L until 12_000 step 30) {
-                val new = random.nextDouble() < short.newVersionShareAt(millis, RolloutBounds())
+                val new = random.nextDouble() < short.newVersionRatioAt(millis, RolloutBounds())
                 val tookMillis = 500 + random.nextLong(2_000)
                 started += Triple(millis, if (new) tookMillis * 8 else tookMillis, new)
                 val phase = short.nextPhase(tallyAt(millis, started), millis, newVersionReady = true)
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/RolloutTracker.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/RolloutTracker.kt
@@ -9,7 +9,7 @@
 import io.carawaytrack.fleet.RolloutBounds
 import io.carawaytrack.fleet.RolloutTally
 import io.carawaytrack.fleet.RouteTally
-import io.carawaytrack.fleet.newVersionShareAt
+import io.carawaytrack.fleet.newVersionRatioAt
 
 /** An attempt that has not ended. */
 internal class OpenAttempt(
@@ -54,7 +54,7 @@
         session: String,
     ): Boolean {
         val sinceMillis = tracked[rollout.id]?.sinceMillis ?: return false
-        return unitHash(session) < rollout.newVersionShareAt(nowMillis() - sinceMillis, bounds)
+        return unitHash(session) < rollout.newVersionRatioAt(nowMillis() - sinceMillis, bounds)
     }
 
     /** Counts a response or a failure of [version]. */
