--- a/replay/src/main/kotlin/io/carawaytrack/replay/Policies.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Policies.kt
@@ -41,9 +41,9 @@
     PlannerSettings(
         priorRatings = 1e12,
         provenAfterRatings = 0,
-        newVersionShare = 0.0,
-        recheckShare = 0.0,
-        promisingShare = 0.0,
+        newVersionRatio = 0.0,
+        recheckRatio = 0.0,
+        promisingRatio = 0.0,
         cascadesEnabled = false,
     )
 
--- a/routing/src/main/kotlin/io/carawaytrack/routing/Estimates.kt
+++ b/routing/src/main/kotlin/io/carawaytrack/routing/Estimates.kt
@@ -47,8 +47,8 @@
         return Estimate(mean, standardDeviation() * sqrt(n) / (priorRatings + n))
     }
 
-    /** Returns the share of ratings below the lower edge of [bin]. */
-    fun shareBelow(bin: Int): Double = counts.take(bin).sum() / total
+    /** Returns the fraction of ratings below the lower edge of [bin]. */
+    fun ratioBelow(bin: Int): Double = counts.take(bin).sum() / total
 
     /**
      * Returns the mean rating if every answer rated below the lower edge of [bin] were replaced by an answer with the
--- a/routing/src/main/kotlin/io/carawaytrack/routing/Planner.kt
+++ b/routing/src/main/kotlin/io/carawaytrack/routing/Planner.kt
@@ -102,13 +102,13 @@
  * @property priorRatings number of ratings that the operator's expected quality weighs as much as
  * @property provenAfterRatings ratings from which a version counts as proven on a route
  * @property decayRatings ratings after which the weight of an observation has fallen to about 37 %
- * @property newVersionShare share of requests, 0 to 1, that try versions which are not proven yet
- * @property recheckShare share of requests, 0 to 1, that try proven versions which the best plan does not use
- * @property promisingShare share of requests, 0 to 1, that use a cheaper plan whose expected quality meets the target,
- * whatever its confidence
+ * @property newVersionRatio fraction of requests, 0 to 1, that try versions which are not proven yet
+ * @property recheckRatio fraction of requests, 0 to 1, that try proven versions which the best plan does not use
+ * @property promisingRatio fraction of requests, 0 to 1, that use a cheaper plan whose expected quality meets the
+ * target, whatever its confidence
  * @property maxUnratedRequests requests planned for a version on trial without a new rating, after which trials stop
  * @property cascadesEnabled whether a plan may have two steps
- * @property minCascadeSavingRatio share of a single version's cost, 0 to 1, that a cascade must save to justify its
+ * @property minCascadeSavingRatio fraction of a single version's cost, 0 to 1, that a cascade must save to justify its
  * additional latency
  */
 public data class PlannerSettings(
@@ -116,9 +116,9 @@
     val priorRatings: Double = 10.0,
     val provenAfterRatings: Int = 30,
     val decayRatings: Int = 500,
-    val newVersionShare: Double = 0.3,
-    val recheckShare: Double = 0.02,
-    val promisingShare: Double = 0.5,
+    val newVersionRatio: Double = 0.3,
+    val recheckRatio: Double = 0.02,
+    val promisingRatio: Double = 0.5,
     val maxUnratedRequests: Int = 60,
     val cascadesEnabled: Boolean = true,
     val minCascadeSavingRatio: Double = 0.1,
--- a/routing/src/main/kotlin/io/carawaytrack/routing/RouteEstimates.kt
+++ b/routing/src/main/kotlin/io/carawaytrack/routing/RouteEstimates.kt
@@ -53,9 +53,9 @@
         random: Random,
         settings: PlannerSettings,
     ): List<PlanStep> {
-        if (newTrials.isNotEmpty() && random.nextDouble() < settings.newVersionShare) return newTrials.random(random)
-        if (rechecks.isNotEmpty() && random.nextDouble() < settings.recheckShare) return rechecks.random(random)
-        if (promising != null && random.nextDouble() < settings.promisingShare) return promising
+        if (newTrials.isNotEmpty() && random.nextDouble() < settings.newVersionRatio) return newTrials.random(random)
+        if (rechecks.isNotEmpty() && random.nextDouble() < settings.recheckRatio) return rechecks.random(random)
+        if (promising != null && random.nextDouble() < settings.promisingRatio) return promising
         return best(random)
     }
 }
@@ -169,7 +169,7 @@
         return (1 until RATING_BIN_COUNT).map { bin ->
             EvaluatedPlan(
                 steps = listOf(PlanStep(first.version, bin.toDouble() / RATING_BIN_COUNT), PlanStep(second.version)),
-                cost = cost(first) + firstRatings.shareBelow(bin) * cost(second),
+                cost = cost(first) + firstRatings.ratioBelow(bin) * cost(second),
                 quality = firstRatings.meanWithReplacement(bin, secondQuality),
                 proven = isProven(second.version),
             )
--- a/routing/src/test/kotlin/io/carawaytrack/routing/LearningPlannerTest.kt
+++ b/routing/src/test/kotlin/io/carawaytrack/routing/LearningPlannerTest.kt
@@ -41,7 +41,7 @@
     fun `best plan is`(): List<DynamicTest> = planCases.map { case ->
         dynamicTest(case.name) {
             val planner =
-                Planner(Random(3), PlannerSettings(newVersionShare = 0.0, recheckShare = 0.0, promisingShare = 0.0))
+                Planner(Random(3), PlannerSettings(newVersionRatio = 0.0, recheckRatio = 0.0, promisingRatio = 0.0))
             repeat(200) { planner.observe("draft", large, Observation.Rated(0.94 + it % 2 * 0.02)) }
             case.smallRatings.forEach { planner.observe("draft", small, Observation.Rated(it)) }
             expectThat(planner.versions(case.singleVersion)).isEqualTo(case.expected)
@@ -51,7 +51,7 @@
     @Test
     fun `a version that starts to fail is no longer used alone`() {
         val planner =
-            Planner(Random(3), PlannerSettings(newVersionShare = 0.0, recheckShare = 0.0, promisingShare = 0.0))
+            Planner(Random(3), PlannerSettings(newVersionRatio = 0.0, recheckRatio = 0.0, promisingRatio = 0.0))
         repeat(200) { planner.observe("draft", large, Observation.Rated(0.95)) }
         repeat(200) { planner.observe("draft", small, Observation.Rated(0.9)) }
         expectThat(planner.versions()).isEqualTo(listOf(small))
@@ -61,7 +61,7 @@
 
     @Test
     fun `an unproven version is tried on a limited share of requests, with a sufficient version as fallback`() {
-        val planner = Planner(Random(3), PlannerSettings(newVersionShare = 0.1))
+        val planner = Planner(Random(3), PlannerSettings(newVersionRatio = 0.1))
         repeat(60) { planner.observe("draft", large, Observation.Rated(0.95)) }
         val plans = List(300) { planner.versions() }
         val tried = plans.filter { small in it }
@@ -71,7 +71,7 @@
 
     @Test
     fun `trials stop while no ratings arrive`() {
-        val planner = Planner(Random(3), PlannerSettings(newVersionShare = 0.5, maxUnratedRequests = 20))
+        val planner = Planner(Random(3), PlannerSettings(newVersionRatio = 0.5, maxUnratedRequests = 20))
         repeat(60) { planner.observe("draft", large, Observation.Rated(0.95)) }
         val tried =
             (1..2_000).count {
