--- a/agent/src/main/kotlin/io/carawaytrack/agent/Agent.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/Agent.kt
@@ -31,7 +31,10 @@
 
 private val logger = KotlinLogging.logger {}
 
-/** Disables relapse by latency: the latency of a plain service depends on the request, not on whether it is warm. */
+/**
+ * Disables resets of the slow start by latency: the latency of a plain service depends on the request, not on whether it
+ * is warm.
+ */
 private const val LATENCY_FACTOR_DISABLED = 1e9
 
 internal class Agent(
--- a/entry/src/main/kotlin/io/carawaytrack/entry/CallerRequest.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/CallerRequest.kt
@@ -39,7 +39,7 @@
 
     val estimatedTokens: Long = chat?.estimatedTokens ?: 0
 
-    /** Hash of organisation, method, path and body; identifies resends of the same request. */
+    /** Hash of organisation, method, path and body; identifies retries of the same request by its caller. */
     val fingerprint: Long =
         Hashing
             .xxh3_64()
--- a/entry/src/main/kotlin/io/carawaytrack/entry/RequestCompletion.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/RequestCompletion.kt
@@ -43,7 +43,7 @@
         answer.notifySettled()
     }
 
-    /** Records [answer] with its [body]; with an idempotency key, waits until the outcome is committed for resends. */
+    /** Records [answer] with its [body]; with an idempotency key, waits until the outcome is committed for retries. */
     suspend fun complete(
         answer: Answer,
         body: ByteArray?,
--- a/entry/src/main/kotlin/io/carawaytrack/entry/RequestHandler.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/RequestHandler.kt
@@ -1,6 +1,6 @@
 /*
- * Handles a request from planning to its reply: records an intent in the ledger where a resend can be recognised, runs
- * the steps of the plan, and leaves one outcome and one bill.
+ * Handles a request from planning to its reply: records an intent in the ledger where a retry by the caller can be
+ * recognised, runs the steps of the plan, and leaves one outcome and one bill.
  */
 package io.carawaytrack.entry
 
@@ -104,7 +104,7 @@
         }
     }
 
-    // Without an idempotency key a resend looks like a new request, so an intent would protect nothing.
+    // Without an idempotency key a retry by the caller looks like a new request, so an intent would protect nothing.
     private fun needsIntent(
         request: CallerRequest,
         pinned: ModelVersion?,
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/CallerRequest.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/CallerRequest.kt
@@ -68,7 +68,7 @@
     fun lastEventId(): String? = head.headers()[LAST_EVENT_ID]
 }
 
-/** Deadline of requests that specify none: the longest timeout of the present routes. */
+/** Deadline of requests that specify none: the longest timeout of the routes in force. */
 private const val DEFAULT_DEADLINE_MILLIS = 30_000L
 
 /** Parses a request that matches the route of [match] and arrived at [nowMillis]. */
--- a/ledger/src/main/kotlin/io/carawaytrack/ledger/OrganisationLedger.kt
+++ b/ledger/src/main/kotlin/io/carawaytrack/ledger/OrganisationLedger.kt
@@ -49,7 +49,7 @@
         return LedgerReply.Started(command.request, version, command.session != null)
     }
 
-    // An entry that lost the reply to a Begin command resends it with the same request identifier, even without a key.
+    // An entry that lost the reply to a Begin command retries it with the same request identifier, even without a key.
     private fun earlierRequest(command: LedgerCommand.Begin): RequestRecord? {
         val request = command.key?.let(requestByKey::get) ?: command.request
         return requests[request]
--- a/ledger/src/test/kotlin/io/carawaytrack/ledger/LedgerTest.kt
+++ b/ledger/src/test/kotlin/io/carawaytrack/ledger/LedgerTest.kt
@@ -115,7 +115,7 @@
                 begin("r2") gets replayed,
             ),
             Scenario(
-                "an intent whose reply was lost may be resent",
+                "an intent whose reply was lost may be retried",
                 begin("r1") gets started("r1"),
                 begin("r1") gets started("r1"),
                 begin("r2") gets running,
--- a/limits/src/main/kotlin/io/carawaytrack/limits/SlowStart.kt
+++ b/limits/src/main/kotlin/io/carawaytrack/limits/SlowStart.kt
@@ -12,7 +12,7 @@
  *
  * @property initialPermits permits after a start, the load that the upstream sustains when it is completely cold
  * @property maxPermits permits when the upstream is warm
- * @property rampMillis shortest time from a start to [maxPermits]
+ * @property rampMillis minimum time from a start to [maxPermits]
  * @property growthFactor factor applied to the permits after a healthy round of requests
  * @property healthyLatencyFactor a round is healthy while its time per token is within this factor of the baseline
  * @property warmingLatencyRatio before there is a baseline, an upstream is still warming up while the time per token
--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/CoreMember.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/CoreMember.kt
@@ -56,7 +56,7 @@
 /** Delay before a failed folder is reopened: long enough not to overload a failing disk. */
 private const val REOPEN_DELAY_MILLIS = 700L
 
-/** Time for which a join request is valid: several of the intervals at which it is resent. */
+/** Time for which a join request is valid: several of the intervals at which it is repeated. */
 private const val JOIN_VALID_MILLIS = 1_500L
 
 /** Maximum size of a command: the largest document that an operator may send, uncompressed. */
--- a/routing/src/test/kotlin/io/carawaytrack/routing/RolloutEvaluatorTest.kt
+++ b/routing/src/test/kotlin/io/carawaytrack/routing/RolloutEvaluatorTest.kt
@@ -1,5 +1,5 @@
 /*
- * Tests the decision for given tallies of a stage, and the rate of false roll-backs between equal versions.
+ * Tests the decision for given tallies of a stage, and the rate of false rollbacks between equal versions.
  */
 package io.carawaytrack.routing
 
