--- a/agent/src/main/kotlin/io/carawaytrack/agent/Agent.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/Agent.kt
@@ -32,8 +32,8 @@
 private val logger = KotlinLogging.logger {}
 
 /**
- * Disables resets of the slow start by latency: the latency of a plain service depends on the request, not on whether it
- * is warm.
+ * Disables resets of the slow start by latency: the latency of a plain service depends on the request, not on whether
+ * it is warm.
  */
 private const val LATENCY_FACTOR_DISABLED = 1e9
 
--- a/fleet/src/main/kotlin/io/carawaytrack/fleet/RolloutPolicy.kt
+++ b/fleet/src/main/kotlin/io/carawaytrack/fleet/RolloutPolicy.kt
@@ -1,7 +1,8 @@
 /*
  * Progress of a roll-out: the fraction of new sessions that the new version receives over time, and the observations
- * that cause a rollback. The policy is designed for a service with a few tens of requests per second, where a third or more
- * of the new version's responses may fail or take several times as long, from the start, later, or on a single route.
+ * that cause a rollback. The policy is designed for a service with a few tens of requests per second, where a third or
+ * more of the new version's responses may fail or take several times as long, from the start, later, or on a single
+ * route.
  */
 package io.carawaytrack.fleet
 
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Placement.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Placement.kt
@@ -49,7 +49,7 @@
  *
  * @property load number of its running and queued requests
  * @property cachedParts identifiers of the prompt parts that it has cached
- * @property failureRatio share of its recent requests that failed, 0 to 1
+ * @property failureRatio fraction of its recent requests that failed, 0 to 1
  * @property sinceAnnouncementMillis time since its last announcement
  */
 public data class Candidate(
--- a/standins/src/main/kotlin/io/carawaytrack/standins/EngineSettings.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/EngineSettings.kt
@@ -23,7 +23,7 @@
  * @property cacheBlocks capacity of the prefix cache, in blocks of [PREFIX_BLOCK_CHARS] characters
  * @property loadLagMillis age of the load that `GET /load` reports
  * @property eventLagMillis age from which a cache event is reported
- * @property eventLossRatio share of cache events, 0 to 1, that are never reported
+ * @property eventLossRatio fraction of cache events, 0 to 1, that are never reported
  * @property loadModelMillis time that an order to load a model takes
  * @property enforcesFencing whether an order with a lower fencing token than an earlier one is refused
  * @property resumableAnswers number of most recent answers that are retained for resumption
@@ -64,7 +64,7 @@
  * @property tokenSlowdown factor on the time of each token
  * @property stallAfterTokens number of tokens after which an answer stalls until the fault is cleared
  * @property breakAfterTokens number of tokens after which the connection is closed
- * @property errorRatio share of requests, 0 to 1, that fail with status 500
+ * @property errorRatio fraction of requests, 0 to 1, that fail with status 500
  * @property quality mean rating, 0 to 1, that overrides the setting
  * @property loadLagMillis lag of the load report that overrides the setting
  */
--- a/standins/src/main/kotlin/io/carawaytrack/standins/LoadHistory.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/LoadHistory.kt
@@ -9,7 +9,7 @@
  * Reply to `GET /load`.
  *
  * @property queuedTokens prompt tokens and outstanding answer tokens of the running and waiting requests
- * @property cacheUsed share of the prefix cache in use, 0 to 1
+ * @property cacheUsed fraction of the prefix cache in use, 0 to 1
  * @property bootId changes with every start of the engine
  */
 @Serializable
--- a/standins/src/main/kotlin/io/carawaytrack/standins/RatingStandIn.kt
+++ b/standins/src/main/kotlin/io/carawaytrack/standins/RatingStandIn.kt
@@ -19,7 +19,7 @@
  *
  * @property noise standard deviation of the ratings
  * @property delayMillis delay of each reply
- * @property missingRatio share of answers, 0 to 1, that get status 404 instead of a rating
+ * @property missingRatio fraction of answers, 0 to 1, that get status 404 instead of a rating
  * @property unmarkedRating rating of an answer without a marker
  */
 public data class RatingSettings(
--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/Telemetry.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/Telemetry.kt
@@ -66,7 +66,7 @@
 /**
  * Configures which spans are recorded and where they are written.
  *
- * @property sampleRatio share of new traces that are recorded, 0 to 1; a trace started by another process keeps its
+ * @property sampleRatio fraction of new traces that are recorded, 0 to 1; a trace started by another process keeps its
  * sampling decision
  * @property maxQueuedSpans maximum number of ended spans that wait to be written; further spans are dropped and counted
  */
