--- a/bench/src/main/kotlin/io/carawaytrack/bench/CallerLoad.kt
+++ b/bench/src/main/kotlin/io/carawaytrack/bench/CallerLoad.kt
@@ -26,7 +26,7 @@
 
 private const val MAX_RECORDED_NANOS = 120_000_000_000L
 private const val SIGNIFICANT_DIGITS = 3
-private const val NANOS_PER_MILLISECOND = 1e6
+private const val NANOS_PER_MILLI = 1e6
 private const val NANOS_PER_SECOND = 1e9
 private const val MEDIAN_PERCENTILE = 50.0
 private const val TAIL_PERCENTILE = 99.0
@@ -126,5 +126,5 @@
     }
 
     private fun ConcurrentHistogram.millisAt(percentile: Double) =
-        getValueAtPercentile(percentile) / NANOS_PER_MILLISECOND
+        getValueAtPercentile(percentile) / NANOS_PER_MILLI
 }
--- a/bench/src/main/kotlin/io/carawaytrack/bench/StateSlopes.kt
+++ b/bench/src/main/kotlin/io/carawaytrack/bench/StateSlopes.kt
@@ -34,7 +34,7 @@
 import java.lang.management.ManagementFactory
 
 private const val ANSWER_BYTES = 1_000
-private const val NANOS_PER_MICROSECOND = 1_000.0
+private const val NANOS_PER_MICRO = 1_000.0
 private const val GARBAGE_COLLECTION_ROUNDS = 3
 private const val SAMPLE_PERMITS = 32
 private const val SAMPLE_RUNNING = 17
@@ -178,5 +178,5 @@
     filledLedger(SMALL_RECORD_COUNT, keyed = true)
     val beforeNanos = threads.currentThreadCpuTime
     filledLedger(count, keyed = true)
-    return Point(count.toDouble(), (threads.currentThreadCpuTime - beforeNanos) / NANOS_PER_MICROSECOND)
+    return Point(count.toDouble(), (threads.currentThreadCpuTime - beforeNanos) / NANOS_PER_MICRO)
 }
--- a/entry/src/main/kotlin/io/carawaytrack/entry/RequestReader.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/RequestReader.kt
@@ -33,7 +33,7 @@
 internal const val IDEMPOTENCY_HEADER = "Idempotency-Key"
 internal const val TRACE_HEADER = "traceparent"
 
-private const val MAX_KEY_CHARACTERS = 200
+private const val MAX_KEY_CHARS = 200
 
 private class Caller(
     val organisation: Organisation,
@@ -101,8 +101,8 @@
 
     private fun ApplicationCall.keyHeader(header: String): Result<String?, Failure> {
         val value = request.headers[header] ?: return Ok(null)
-        if (value.isNotBlank() && value.length <= MAX_KEY_CHARACTERS) return Ok(value)
-        val detail = "expected $header of 1 to $MAX_KEY_CHARACTERS characters, got ${value.length}"
+        if (value.isNotBlank() && value.length <= MAX_KEY_CHARS) return Ok(value)
+        val detail = "expected $header of 1 to $MAX_KEY_CHARS characters, got ${value.length}"
         return Err(ErrorKind.MalformedRequest.notRun(detail))
     }
 
--- a/gateway/src/test/kotlin/io/carawaytrack/gateway/PlacementLoadTest.kt
+++ b/gateway/src/test/kotlin/io/carawaytrack/gateway/PlacementLoadTest.kt
@@ -24,7 +24,7 @@
 private const val REQUESTS_PER_SECOND = 40.0
 
 /** Prompt tokens that an engine processes in a millisecond for the largest model. */
-private const val PREFILL_TOKENS_PER_MILLISECOND = 42.0
+private const val PREFILL_TOKENS_PER_MILLI = 42.0
 
 /** Duration of a response after its prompt has been processed. */
 private const val ANSWER_MILLIS = 2_500.0
@@ -58,7 +58,7 @@
                     .last()
                     .tokens
         prefillTokens += tokens
-        prefillUntilMillis = maxOf(prefillUntilMillis, arrival.atMillis) + tokens / PREFILL_TOKENS_PER_MILLISECOND
+        prefillUntilMillis = maxOf(prefillUntilMillis, arrival.atMillis) + tokens / PREFILL_TOKENS_PER_MILLI
         busyUntilMillis += prefillUntilMillis + ANSWER_MILLIS
         return prefillUntilMillis - arrival.atMillis
     }
--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/Telemetry.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/Telemetry.kt
@@ -111,7 +111,7 @@
 }
 
 private const val MAX_ATTRIBUTES_PER_SPAN = 32
-private const val MAX_ATTRIBUTE_VALUE_CHARACTERS = 1_024
+private const val MAX_ATTRIBUTE_VALUE_CHARS = 1_024
 private const val TRACEPARENT_HEADER = "traceparent"
 private const val INSTRUMENTATION_SCOPE = "io.carawaytrack"
 private val errorTypeKey = AttributeKey.stringKey("error.type")
@@ -120,7 +120,7 @@
     SpanLimits
         .builder()
         .setMaxNumberOfAttributes(MAX_ATTRIBUTES_PER_SPAN)
-        .setMaxAttributeValueLength(MAX_ATTRIBUTE_VALUE_CHARACTERS)
+        .setMaxAttributeValueLength(MAX_ATTRIBUTE_VALUE_CHARS)
         .build()
 
 private class SdkTelemetry(
--- a/telemetry/src/test/kotlin/io/carawaytrack/telemetry/MetricsTest.kt
+++ b/telemetry/src/test/kotlin/io/carawaytrack/telemetry/MetricsTest.kt
@@ -51,7 +51,7 @@
     return text.toString(Charsets.UTF_8)
 }
 
-private const val MILLISECOND_NANOS = 1_000_000L
+private const val NANOS_PER_MILLI = 1_000_000L
 private val quill = ModelVersion("quill", "2")
 private val penmark = OrganisationName("penmark")
 private val rollout = Rollout("quill-2", PoolName("draft"), ModelVersion("quill", "1"), quill, 10, RolloutPhase.Running)
@@ -117,8 +117,8 @@
             ),
         ) {
             val metrics = EntryMetrics(it)
-            metrics.firstByte("letters", 780 * MILLISECOND_NANOS)
-            metrics.chunkGap("letters", 32 * MILLISECOND_NANOS)
+            metrics.firstByte("letters", 780 * NANOS_PER_MILLI)
+            metrics.chunkGap("letters", 32 * NANOS_PER_MILLI)
         },
         Case(
             "cost, tokens, rating and target",
@@ -207,8 +207,8 @@
         ) {
             val metrics = AgentMetrics(it) { UpstreamLoad(permits = 4, running = 3, queuedTokens = 900) }
             metrics.refused(ErrorKind.PoolExhausted)
-            metrics.firstByte(quill, 250 * MILLISECOND_NANOS)
-            metrics.attemptEnded(UpstreamAttemptEnd(quill, null, Execution.Ran, 500 * MILLISECOND_NANOS))
+            metrics.firstByte(quill, 250 * NANOS_PER_MILLI)
+            metrics.attemptEnded(UpstreamAttemptEnd(quill, null, Execution.Ran, 500 * NANOS_PER_MILLI))
             metrics.slowStarted()
             metrics.quarantined()
         },
@@ -233,8 +233,8 @@
             ),
         ) {
             val metrics = ControlMetrics(it, ControlSources(log = { LogStatus(true, 3, 12, 11, 10) }))
-            metrics.synced(entries = 5, elapsedNanos = 2 * MILLISECOND_NANOS)
-            metrics.proposed(null, Execution.Ran, MILLISECOND_NANOS)
+            metrics.synced(entries = 5, elapsedNanos = 2 * NANOS_PER_MILLI)
+            metrics.proposed(null, Execution.Ran, NANOS_PER_MILLI)
             metrics.heartbeat(NodeRole.Agent)
             metrics.changeEnded(ErrorKind.VersionConflict)
         },
@@ -270,7 +270,7 @@
 private fun answered(
     failure: ErrorKind?,
     version: ModelVersion = quill,
-) = RequestEnd(penmark, "letters", version, failure, Execution.Ran, 500 * MILLISECOND_NANOS)
+) = RequestEnd(penmark, "letters", version, failure, Execution.Ran, 500 * NANOS_PER_MILLI)
 
 private fun holder(
     role: NodeRole,
