--- a/consensus/src/test/kotlin/io/carawaytrack/consensus/HistoryTest.kt
+++ b/consensus/src/test/kotlin/io/carawaytrack/consensus/HistoryTest.kt
@@ -62,18 +62,18 @@
 
     @TestFactory
     fun `acknowledged commands survive any history of faults and are returned by reads`() =
-        (1..SEEDS).map { seed -> dynamicTest("seed $seed") { runHistory(seed) } }
+        (1..SEED_COUNT).map { seed -> dynamicTest("seed $seed") { runHistory(seed) } }
 
     private fun runHistory(seed: Int) {
         val settings = testSettings.copy(snapshotEveryEntries = 8, keptEntries = 2)
         val group = TestGroup(seed, size = if (seed % 2 == 0) 3 else 5, settings)
         val client = Client(group)
-        repeat(STEPS) {
+        repeat(STEP_COUNT) {
             injectFault(group)
             repeat(group.random.nextInt(4)) { client.write(group.hosts.values.random(group.random)) }
             group.leader()?.let(client::write)
             group.hosts.values.forEach(client::read)
-            repeat(group.random.nextInt(1, LONGEST_STEP_MILLIS)) {
+            repeat(group.random.nextInt(1, MAX_STEP_MILLIS)) {
                 group.run(millis = 1)
                 client.observe()
             }
@@ -110,7 +110,7 @@
     }
 
     private fun degradeNetwork(group: TestGroup) {
-        group.longestDelayMillis = group.random.nextLong(1, 120)
+        group.maxDelayMillis = group.random.nextLong(1, 120)
         group.lossPercent = group.random.nextInt(15)
         group.duplicatePercent = group.random.nextInt(30)
     }
@@ -126,7 +126,7 @@
 
     private fun recover(group: TestGroup) {
         group.heal()
-        group.longestDelayMillis = 3
+        group.maxDelayMillis = 3
         group.lossPercent = 0
         group.duplicatePercent = 0
         group.hosts.values.forEach { host ->
@@ -137,8 +137,8 @@
     }
 
     private companion object {
-        const val SEEDS = 200
-        const val STEPS = 40
-        const val LONGEST_STEP_MILLIS = 250
+        const val SEED_COUNT = 200
+        const val STEP_COUNT = 40
+        const val MAX_STEP_MILLIS = 250
     }
 }
--- a/consensus/src/test/kotlin/io/carawaytrack/consensus/TestGroup.kt
+++ b/consensus/src/test/kotlin/io/carawaytrack/consensus/TestGroup.kt
@@ -103,7 +103,7 @@
     val blockedLinks = HashSet<Pair<NodeId, NodeId>>()
     var nowMillis = 1_000L
         private set
-    var longestDelayMillis = 3L
+    var maxDelayMillis = 3L
     var lossPercent = 0
     var duplicatePercent = 0
     var sendThrows = false
@@ -268,7 +268,7 @@
         if (random.nextInt(PERCENT) < lossPercent) return
         val copies = if (random.nextInt(PERCENT) < duplicatePercent) 2 else 1
         repeat(copies) {
-            network += InFlightMessage(nowMillis + 1 + random.nextLong(longestDelayMillis), sent++, from, to, payload)
+            network += InFlightMessage(nowMillis + 1 + random.nextLong(maxDelayMillis), sent++, from, to, payload)
         }
     }
 
--- a/control/src/test/kotlin/io/carawaytrack/control/ControlStateTest.kt
+++ b/control/src/test/kotlin/io/carawaytrack/control/ControlStateTest.kt
@@ -36,8 +36,8 @@
 import strikt.assertions.isTrue
 import kotlin.random.Random
 
-private const val CHANGES = 500
-private const val SEEDS = 20
+private const val CHANGE_COUNT = 500
+private const val SEED_COUNT = 20
 
 private val pen = ModelVersion("pen", "1")
 private val penNext = ModelVersion("pen", "2")
@@ -95,13 +95,13 @@
 
     @Test
     fun `the configuration number never decreases over 500 changes with restarts`() {
-        repeat(SEEDS) { seed ->
+        repeat(SEED_COUNT) { seed ->
             val random = Random(seed)
             val observedNumbers = mutableListOf(0L)
             val onConfiguration = { inForce: Configuration -> observedNumbers += inForce.number }
             val steady = ControlState()
             var restarting = ControlState(onConfiguration)
-            repeat(CHANGES) { step ->
+            repeat(CHANGE_COUNT) { step ->
                 val change = randomChange(random, step)
                 val base = if (random.nextInt(4) == 0) steady.configuration.number - random.nextInt(2) else null
                 val operation = "op-${if (random.nextInt(8) == 0) random.nextInt(step + 1) else step}"
--- a/control/src/test/kotlin/io/carawaytrack/control/HistoryTest.kt
+++ b/control/src/test/kotlin/io/carawaytrack/control/HistoryTest.kt
@@ -27,8 +27,8 @@
 import strikt.assertions.isGreaterThan
 import kotlin.random.Random
 
-private const val SEEDS = 300
-private const val STEPS = 1_500
+private const val SEED_COUNT = 300
+private const val STEP_COUNT = 1_500
 private const val MAX_STEP_MILLIS = 40
 private const val TIMEOUT_MILLIS = 4_000L
 private val market = OrganisationName("market")
@@ -104,7 +104,7 @@
     ) = Holder("$kind-${nextId++}", zone).also(holders::add)
 
     fun simulate(): History {
-        repeat(STEPS) {
+        repeat(STEP_COUNT) {
             nowMillis += random.nextInt(MAX_STEP_MILLIS)
             step()
         }
@@ -249,7 +249,7 @@
 class HistoryTest {
     @Test
     fun `invariants hold in every sequence of requests, crashes, partitions and changes`() {
-        val histories = (0 until SEEDS).associateWith { History(it).simulate() }
+        val histories = (0 until SEED_COUNT).associateWith { History(it).simulate() }
         histories.forEach { (seed, history) ->
             expectThat(violations(history)).describedAs("violations with seed $seed").isEmpty()
         }
@@ -261,8 +261,11 @@
                     .size
             }
         val changes = histories.values.sumOf { it.forbiddenExecutions.size }
-        expectThat(minOf(executions, bills, changes)).isGreaterThan(SEEDS)
-        println("seeds 0..${SEEDS - 1}, $STEPS steps each: $executions runs, $bills bills, $changes changes, no fault")
+        expectThat(minOf(executions, bills, changes)).isGreaterThan(SEED_COUNT)
+        println(
+            "seeds 0..${SEED_COUNT - 1}, $STEP_COUNT steps each: " +
+                "$executions runs, $bills bills, $changes changes, no fault",
+        )
     }
 
     private fun violations(history: History): List<String> = listOfNotNull(
--- a/entry/src/main/kotlin/io/carawaytrack/entry/SessionVersionCache.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/SessionVersionCache.kt
@@ -10,7 +10,7 @@
 import java.util.concurrent.locks.ReentrantLock
 import kotlin.concurrent.withLock
 
-private const val SHARDS = 16
+private const val SHARD_COUNT = 16
 private const val SESSIONS_PER_SHARD = 4_096
 
 private data class SessionKey(
@@ -19,7 +19,7 @@
 )
 
 internal class SessionVersionCache {
-    private val shards = List(SHARDS) { CacheShard() }
+    private val shards = List(SHARD_COUNT) { CacheShard() }
 
     fun find(request: CallerRequest): ModelVersion? {
         val key = request.sessionKey() ?: return null
@@ -34,7 +34,7 @@
         shardOf(key).put(key, version)
     }
 
-    private fun shardOf(key: SessionKey) = shards[Math.floorMod(key.hashCode(), SHARDS)]
+    private fun shardOf(key: SessionKey) = shards[Math.floorMod(key.hashCode(), SHARD_COUNT)]
 
     private fun CallerRequest.sessionKey() = session?.let { SessionKey(organisation.name, it) }
 }
--- a/entry/src/test/kotlin/io/carawaytrack/entry/BadInputTest.kt
+++ b/entry/src/test/kotlin/io/carawaytrack/entry/BadInputTest.kt
@@ -26,7 +26,7 @@
 import java.security.MessageDigest
 import kotlin.random.Random
 
-private const val SEEDS = 500
+private const val SEED_COUNT = 500
 
 class BadInputTest {
     private val digest = MessageDigest.getInstance("SHA-256").digest("counter".encodeToByteArray()).toHexString()
@@ -100,7 +100,7 @@
     @Test
     fun `a corrupted or random chat body is handled without an exception`() {
         val valid = """{"model":"draft","messages":[{"role":"user","content":"a letter"}]}""".encodeToByteArray()
-        repeat(SEEDS) { seed ->
+        repeat(SEED_COUNT) { seed ->
             val random = Random(seed)
             val bytes = valid.copyOf().also { it[random.nextInt(it.size)] = random.nextInt().toByte() }
             val failure = ChatBody.parse(bytes).getError()
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/RequestLog.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/RequestLog.kt
@@ -11,7 +11,7 @@
 private val logger = KotlinLogging.logger {}
 
 /** One in this many ordinary requests is logged. */
-private const val SAMPLE_INTERVAL = 16
+private const val REQUESTS_PER_SAMPLE = 16
 
 /** Limit on request log lines: at a few hundred bytes each, a small part of a slow host's network link. */
 private const val MAX_LINES_PER_SECOND = 150
@@ -49,7 +49,7 @@
     }
 
     /** Returns whether the ordinary request [id] is part of the sample. */
-    fun isSampled(id: String): Boolean = (unitHash(id) * SAMPLE_INTERVAL).toInt() == 0
+    fun isSampled(id: String): Boolean = (unitHash(id) * REQUESTS_PER_SAMPLE).toInt() == 0
 
     private fun mayWrite(): Boolean {
         val now = nowMillis() / MILLIS_PER_SECOND
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamState.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamState.kt
@@ -38,11 +38,11 @@
 
 internal fun reportedLoad(header: String?): ReportedLoad? {
     val numbers = header?.split(',')?.map { it.trim().toIntOrNull() ?: return null } ?: return null
-    if (numbers.size < LOAD_FIELDS) return null
+    if (numbers.size < LOAD_FIELD_COUNT) return null
     return ReportedLoad(numbers[0], numbers[1], numbers[2])
 }
 
-private const val LOAD_FIELDS = 3
+private const val LOAD_FIELD_COUNT = 3
 
 internal class UpstreamState(
     known: KnownUpstream,
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/WaitQueue.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/WaitQueue.kt
@@ -6,7 +6,7 @@
 package io.carawaytrack.gateway
 
 /** Maximum number of queued requests on one host; beyond it, the least urgent request is refused. */
-private const val MAX_QUEUED = 512
+private const val MAX_QUEUED_REQUESTS = 512
 
 /**
  * Describes a queued request.
@@ -32,7 +32,7 @@
     /** Adds [request] and returns the requests that are removed because the queue is full. */
     fun add(request: W): List<W> {
         queued += request
-        if (queued.size <= MAX_QUEUED) return emptyList()
+        if (queued.size <= MAX_QUEUED_REQUESTS) return emptyList()
         queued.sortWith(order(nowMillis()))
         return listOf(queued.removeLast())
     }
--- a/gateway/src/test/kotlin/io/carawaytrack/gateway/PlacementLoadTest.kt
+++ b/gateway/src/test/kotlin/io/carawaytrack/gateway/PlacementLoadTest.kt
@@ -15,9 +15,9 @@
 import kotlin.math.exp
 import kotlin.math.ln
 
-private const val ENGINES = 6
-private const val HOSTS = 8
-private const val SHARED_PREFIXES = 63
+private const val ENGINE_COUNT = 6
+private const val HOST_COUNT = 8
+private const val SHARED_PREFIX_COUNT = 63
 private const val LENGTH_MILLIS = 30_000.0
 
 /** Requests per second over all hosts: more than the engines can process without reuse of shared parts. */
@@ -78,10 +78,10 @@
         var atMillis = 0.0
         return generateSequence {
             atMillis += -ln(1 - random.nextDouble()) / REQUESTS_PER_SECOND * MILLIS_PER_SECOND
-            val sharedPrefix = random.nextInt(SHARED_PREFIXES)
+            val sharedPrefix = random.nextInt(SHARED_PREFIX_COUNT)
             val own = (exp(random.nextGaussian()) * OWN_TOKENS).toInt().coerceIn(1, MAX_OWN_TOKENS)
             val parts = listOf(PromptPart("s$sharedPrefix", SHARED_TOKENS), PromptPart("own$atMillis", own))
-            Arrival(atMillis, random.nextInt(HOSTS), PromptDemand(SHARED_TOKENS + own, 300, parts))
+            Arrival(atMillis, random.nextInt(HOST_COUNT), PromptDemand(SHARED_TOKENS + own, 300, parts))
         }.takeWhile { it.atMillis < LENGTH_MILLIS }.toList()
     }
 
@@ -89,7 +89,7 @@
         arrivals: List<Arrival>,
         choose: Choice,
     ): Outcome {
-        val engines = List(ENGINES) { SimulatedEngine() }
+        val engines = List(ENGINE_COUNT) { SimulatedEngine() }
         var onTime = 0
         arrivals.forEachIndexed { number, arrival ->
             val candidates =
@@ -114,7 +114,7 @@
             dynamicTest("seed $seed") {
                 val arrivals = arrivals(seed)
                 val placed = simulate(arrivals) { arrival, candidates, _ -> byCost(arrival, candidates) }
-                val roundRobin = simulate(arrivals) { _, _, number -> number % ENGINES }
+                val roundRobin = simulate(arrivals) { _, _, number -> number % ENGINE_COUNT }
                 val leastOutstanding =
                     simulate(arrivals) { _, candidates, _ -> candidates.indices.minBy { candidates[it].load } }
                 expectThat(placed.onTime).isGreaterThan(roundRobin.onTime)
--- a/ledger/src/main/kotlin/io/carawaytrack/ledger/Ledger.kt
+++ b/ledger/src/main/kotlin/io/carawaytrack/ledger/Ledger.kt
@@ -15,7 +15,7 @@
 import java.util.concurrent.locks.ReentrantLock
 import kotlin.concurrent.withLock
 
-private const val SHARDS = 16
+private const val SHARD_COUNT = 16
 
 /** Stores the records of requests, sessions and bills. */
 public interface Ledger {
@@ -108,7 +108,7 @@
 public fun Ledger(): Ledger = ShardedLedger()
 
 private class ShardedLedger : Ledger {
-    private val shards = List(SHARDS) { LedgerShard() }
+    private val shards = List(SHARD_COUNT) { LedgerShard() }
 
     override fun apply(
         command: LedgerCommand,
--- a/ledger/src/test/kotlin/io/carawaytrack/ledger/LedgerTest.kt
+++ b/ledger/src/test/kotlin/io/carawaytrack/ledger/LedgerTest.kt
@@ -19,7 +19,7 @@
 import kotlin.random.Random
 
 private const val TIMEOUT_MILLIS = 1_000L
-private const val SEEDS = 300
+private const val SEED_COUNT = 300
 
 private val market = OrganisationName("market")
 private val stalls = OrganisationName("stalls")
@@ -226,7 +226,7 @@
 
     @Test
     fun `a request is billed once, regardless of the order and number of outcome reports`() {
-        repeat(SEEDS) { seed ->
+        repeat(SEED_COUNT) { seed ->
             val random = Random(seed)
             val reports = listOf(finish("r1", bill = bill("r1", 1.0)), finish("r1", bill = bill("r1", 2.0)))
             val order = List(random.nextInt(2, 8)) { reports.random(random) }
--- a/limits/src/test/kotlin/io/carawaytrack/limits/ConcurrencyLimitTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/ConcurrencyLimitTest.kt
@@ -23,7 +23,7 @@
         tokenMillis: Long,
         count: Int = 1,
         running: () -> Int = { limit },
-    ) = repeat(count * WINDOW) { completed(tokenMillis * TOKENS, TOKENS, running()) }
+    ) = repeat(count * WINDOW_SIZE) { completed(tokenMillis * TOKENS, TOKENS, running()) }
 
     private val moveCases =
         listOf(
@@ -43,7 +43,7 @@
     fun `the limit follows the latency under both rules`(): List<DynamicTest> = rules.flatMap { (ruleName, rule) ->
         moveCases.map { case ->
             dynamicTest("$ruleName: ${case.name}") {
-                val settings = ConcurrencySettings(initialLimit = 8, maxLimit = 32, windowSize = WINDOW)
+                val settings = ConcurrencySettings(initialLimit = 8, maxLimit = 32, windowSize = WINDOW_SIZE)
                 val limit = ConcurrencyLimit(settings, rule).apply(case.steps)
                 expectThat(limit.limit).isIn(case.limits)
             }
@@ -96,7 +96,7 @@
         }
 
     private companion object {
-        const val WINDOW = 4
+        const val WINDOW_SIZE = 4
         const val TOKENS = 50L
         const val MIN_RATIO_TO_BEST = 0.95
 
--- a/limits/src/test/kotlin/io/carawaytrack/limits/FairShareRunTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/FairShareRunTest.kt
@@ -45,7 +45,7 @@
         }
 
         private fun TestScope.launchCallers() {
-            val queue = AdmissionQueue(AdmissionSettings(maxWaiting = 64), { currentTime }) { PERMITS }
+            val queue = AdmissionQueue(AdmissionSettings(maxWaiting = 64), { currentTime }) { PERMIT_COUNT }
             SMALL.forEachIndexed { index, name -> launchLoad(queue, name, SMALL_PER_SECOND, Random(seed * 10 + index)) }
             if (floodPerSecond > 0) launchLoad(queue, "large", floodPerSecond, Random(seed * 10 + SMALL.size))
         }
@@ -97,7 +97,7 @@
         }
 
     private companion object {
-        const val PERMITS = 8
+        const val PERMIT_COUNT = 8
         const val END_MILLIS = 120_000L
         const val SMALL_PER_SECOND = 1.0
         const val FLOOD_PER_SECOND = 40.0
--- a/limits/src/test/kotlin/io/carawaytrack/limits/MemoryBudgetTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/MemoryBudgetTest.kt
@@ -26,7 +26,7 @@
         val budget =
             MemoryBudget(
                 MemorySettings(hardBytes = 1_000, softBytes = 750, streamBytes = 400, slowAfterMillis = 1_000),
-            ) { nowMillis }.also { budget -> (1L..STREAMS).forEach { budget.open(StreamId(it)) } }
+            ) { nowMillis }.also { budget -> (1L..STREAM_COUNT).forEach { budget.open(StreamId(it)) } }
 
         fun reserve(
             stream: Long,
@@ -140,7 +140,7 @@
                 var peakBytes = 0L
                 repeat(5_000) {
                     fixture.nowMillis += 5
-                    val stream = random.nextLong(1, STREAMS + 1)
+                    val stream = random.nextLong(1, STREAM_COUNT + 1)
                     if (stream in ended) return@repeat
                     val decision = fixture.reserve(stream, 20)
                     peakBytes = maxOf(peakBytes, fixture.budget.usedBytes)
@@ -157,6 +157,6 @@
         }
 
     private companion object {
-        const val STREAMS = 20L
+        const val STREAM_COUNT = 20L
     }
 }
--- a/limits/src/test/kotlin/io/carawaytrack/limits/StalledReadersRunTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/StalledReadersRunTest.kt
@@ -43,7 +43,7 @@
         private var nowMillis = 0L
         private val budget = MemoryBudget(settings) { nowMillis }
         private val streams =
-            (0 until STREAMS).map { Stream(StreamId(it.toLong()), isStalled = it < stalled) }
+            (0 until STREAM_COUNT).map { Stream(StreamId(it.toLong()), isStalled = it < stalled) }
         private val delays = mutableListOf<Long>()
         private var peakBytes = 0L
 
@@ -102,10 +102,10 @@
         listOf(1L, 2L, 3L).map { seed ->
             dynamicTest("seed $seed") {
                 val noneStalled = figures("rule-none-stalled", seed, stalled = 0, RULE)
-                val unlimited = figures("no-bound", seed, STREAMS / 2, UNLIMITED)
-                val pauseOnly = figures("pause-only", seed, STREAMS / 2, RULE.copy(slowAfterMillis = END_MILLIS))
-                figures("rule-late", seed, STREAMS / 2, RULE.copy(slowAfterMillis = 1_000))
-                val rule = figures("rule", seed, STREAMS / 2, RULE)
+                val unlimited = figures("no-bound", seed, STREAM_COUNT / 2, UNLIMITED)
+                val pauseOnly = figures("pause-only", seed, STREAM_COUNT / 2, RULE.copy(slowAfterMillis = END_MILLIS))
+                figures("rule-late", seed, STREAM_COUNT / 2, RULE.copy(slowAfterMillis = 1_000))
+                val rule = figures("rule", seed, STREAM_COUNT / 2, RULE)
                 expectThat(unlimited.peakBytes).isGreaterThan(RULE.hardBytes)
                 expectThat(pauseOnly.peakBytes).isGreaterThan(rule.peakBytes)
                 expectThat(rule.peakBytes).isLessThanOrEqualTo(RULE.hardBytes)
@@ -115,7 +115,7 @@
         }
 
     private companion object {
-        const val STREAMS = 40
+        const val STREAM_COUNT = 40
         const val END_MILLIS = 30_000L
         const val STEP_MILLIS = 5L
         const val PART_INTERVAL_MILLIS = 20L
