--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Gateway.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Gateway.kt
@@ -98,7 +98,7 @@
     public fun updateUpstream(known: KnownUpstream)
 
     /** Handles the deregistration of an upstream. */
-    public fun removeUpstream(departure: Deregistration)
+    public fun removeUpstream(deregistration: Deregistration)
 
     /** Sets the number of [hosts] that share the upstreams' limits. */
     public fun setHostCount(hosts: Int)
@@ -179,8 +179,8 @@
         dispatcher.offerWaiting()
     }
 
-    override fun removeUpstream(departure: Deregistration) {
-        if (upstreams.remove(departure)) logEvent("upstream_gone", mapOf("upstream" to departure.id.value))
+    override fun removeUpstream(deregistration: Deregistration) {
+        if (upstreams.remove(deregistration)) logEvent("upstream_gone", mapOf("upstream" to deregistration.id.value))
     }
 
     override fun setHostCount(hosts: Int) {
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamDirectory.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamDirectory.kt
@@ -83,9 +83,9 @@
     }
 
     /** Removes a departed upstream; returns whether it was known. */
-    fun remove(departure: Deregistration): Boolean {
-        val state = states[departure.id] ?: return false
-        val startedAtMillis = departure.startedAtMillis
+    fun remove(deregistration: Deregistration): Boolean {
+        val state = states[deregistration.id] ?: return false
+        val startedAtMillis = deregistration.startedAtMillis
         if (startedAtMillis != null && state.upstream.startedAtMillis > startedAtMillis) return false
         drop(state)
         return true
