--- a/limits/src/test/kotlin/io/carawaytrack/limits/ColdStartRunTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/ColdStartRunTest.kt
@@ -18,18 +18,18 @@
      * Describes the result of a run.
      *
      * @property overAtStart requests begun above the capacity of the upstream in the first cold start
-     * @property overAfterRelapse requests begun above the capacity of the upstream in the second cold start
+     * @property overAfterRestart requests begun above the capacity of the upstream in the second cold start
      * @property fullAfterMillis time until all warm capacity was in use; null if it never was
      */
     private data class Figures(
         val begun: Int,
         val overAtStart: Int,
-        val overAfterRelapse: Int,
+        val overAfterRestart: Int,
         val fullAfterMillis: Long?,
     )
 
     /** Describes what the agent observes of the second cold start besides the latency. */
-    private enum class ColdRestart { RestartSeen, RequestsLost, Quiet }
+    private enum class ColdRestart { RestartSeen, RequestsLost, LatencyOnly }
 
     private class Run(
         seed: Long,
@@ -50,8 +50,8 @@
         private val overCapacity = IntArray(2)
         private var fullAfterMillis: Long? = null
         private val permits = slowStart { nowMillis }
-        private val warmth get() = ((nowMillis - bootMillis).toDouble() / COLD_MILLIS).coerceAtMost(1.0)
-        private val capacity get() = COLD_CAPACITY + ((WARM_CAPACITY - COLD_CAPACITY) * warmth).toInt()
+        private val warmRatio get() = ((nowMillis - bootMillis).toDouble() / COLD_MILLIS).coerceAtMost(1.0)
+        private val capacity get() = COLD_CAPACITY + ((WARM_CAPACITY - COLD_CAPACITY) * warmRatio).toInt()
 
         fun figures(): Figures {
             while (nowMillis < END_MILLIS) {
@@ -68,7 +68,7 @@
         private fun restart() {
             bootMillis = nowMillis
             if (coldRestart == ColdRestart.RestartSeen) permits.restarted()
-            if (coldRestart == ColdRestart.Quiet) return
+            if (coldRestart == ColdRestart.LatencyOnly) return
             repeat(running.size) { permits.failed() }
             running.clear()
         }
@@ -77,7 +77,8 @@
             if (running.size >= capacity) overCapacity[if (bootMillis == 0L) 0 else 1] += 1
             begun += 1
             val tokens = random.nextLong(30, 71)
-            val latencyMillis = (tokens * WARM_TOKEN_MILLIS * (COLD_SLOWDOWN - (COLD_SLOWDOWN - 1) * warmth)).toLong()
+            val latencyMillis =
+                (tokens * WARM_TOKEN_MILLIS * (COLD_SLOWDOWN - (COLD_SLOWDOWN - 1) * warmRatio)).toLong()
             running += Request(nowMillis + latencyMillis, latencyMillis, tokens)
         }
     }
@@ -106,7 +107,7 @@
         coldRestart: ColdRestart,
         slowStart: (() -> Long) -> SlowStart,
     ) = Run(seed, coldRestart, slowStart).figures().also {
-        println("start=$name relapse=$coldRestart seed=$seed $it")
+        println("start=$name restart=$coldRestart seed=$seed $it")
     }
 
     @TestFactory
@@ -118,8 +119,8 @@
                 figures("ramp-half", seed, coldRestart, evidence(COLD_MILLIS / 2))
                 val ramp = figures("ramp", seed, coldRestart, evidence(COLD_MILLIS))
                 expectThat(ramp.overAtStart).isEqualTo(0)
-                if (coldRestart != ColdRestart.Quiet) expectThat(ramp.overAfterRelapse).isEqualTo(0)
-                expectThat(ramp.overAfterRelapse).isLessThan(none.overAfterRelapse)
+                if (coldRestart != ColdRestart.LatencyOnly) expectThat(ramp.overAfterRestart).isEqualTo(0)
+                expectThat(ramp.overAfterRestart).isLessThan(none.overAfterRestart)
                 expectThat(evidenceOnly.overAtStart).isLessThan(none.overAtStart)
             }
         }
--- a/limits/src/test/kotlin/io/carawaytrack/limits/FairShareRunTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/FairShareRunTest.kt
@@ -88,7 +88,7 @@
     fun `a flood gets no small organisation refused and hardly delays it`(): List<DynamicTest> =
         listOf(1L, 2L, 3L).map { seed ->
             dynamicTest("seed $seed") {
-                figures("fair-quiet", seed, perOrganisation = true, floodPerSecond = 0.0)
+                figures("fair-no-flood", seed, perOrganisation = true, floodPerSecond = 0.0)
                 val plain = figures("plain-flood", seed, perOrganisation = false, FLOOD_PER_SECOND)
                 val fair = figures("fair-flood", seed, perOrganisation = true, FLOOD_PER_SECOND)
                 expectThat(fair.refused).isEqualTo(0)
