--- a/agent/src/main/kotlin/io/carawaytrack/agent/EntryService.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/EntryService.kt
@@ -132,7 +132,7 @@
             share = shareOf(attempt),
             priority = attempt.priority,
             cost = attempt.estimatedTokens.coerceAtLeast(1),
-            deadlineMillis = ports.nowMillis() + minOf(attempt.timeoutMillis, MAX_QUEUE_WAIT_MILLIS),
+            deadlineAtMillis = ports.nowMillis() + minOf(attempt.timeoutMillis, MAX_QUEUE_WAIT_MILLIS),
         ),
     )
 
--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/RaftCore.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/RaftCore.kt
@@ -62,7 +62,7 @@
     private val follower = Follower(state)
     private var leader: Leader? = null
     private var election: Election? = null
-    private var electionDeadlineMillis = 0L
+    private var electionDeadlineAtMillis = 0L
 
     /**
      * Time of the last message from the leader. Starts at the current time, because the replica may have been in
@@ -117,7 +117,7 @@
     private fun onTick() {
         val leading = leader
         when {
-            leading == null -> if (nowMillis >= electionDeadlineMillis) startElection(preVote = true)
+            leading == null -> if (nowMillis >= electionDeadlineAtMillis) startElection(preVote = true)
             leading.isQuorumActive(nowMillis) -> leading.onTick(nowMillis)
             else -> stepDown()
         }
@@ -276,6 +276,6 @@
 
     private fun resetElectionDeadline() {
         val timeoutMillis = state.settings.electionTimeoutMillis
-        electionDeadlineMillis = nowMillis + timeoutMillis + random.nextLong(timeoutMillis)
+        electionDeadlineAtMillis = nowMillis + timeoutMillis + random.nextLong(timeoutMillis)
     }
 }
--- a/entry/src/main/kotlin/io/carawaytrack/entry/CallerRequest.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/CallerRequest.kt
@@ -15,7 +15,7 @@
  * Describes a validated request.
  *
  * @property chat parsed body of a chat request; null for a plain service
- * @property deadlineMillis deadline on the monotonic clock
+ * @property deadlineAtMillis deadline on the monotonic clock
  */
 internal class CallerRequest(
     val id: RequestId,
@@ -29,7 +29,7 @@
     val session: SessionId?,
     val idempotencyKey: String?,
     val traceparent: String?,
-    val deadlineMillis: Long,
+    val deadlineAtMillis: Long,
 ) {
     /** Whether the request is idempotent: it may be sent again after an attempt with unknown outcome. */
     val repeatable: Boolean = chat != null || method in route.repeatableMethods
@@ -65,6 +65,6 @@
         session = session,
         idempotencyKey = idempotencyKey,
         traceparent = traceparent,
-        deadlineMillis = deadlineMillis,
+        deadlineAtMillis = deadlineAtMillis,
     )
 }
--- a/entry/src/main/kotlin/io/carawaytrack/entry/Dispatcher.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/Dispatcher.kt
@@ -72,10 +72,10 @@
         private var lastFailure: Failure? = null
         private var execution = Execution.NotRun
         private var retriesAfterExecution = 0
-        private val capacityDeadlineMillis = minOf(nowMillis() + MAX_CAPACITY_WAIT_MILLIS, request.deadlineMillis)
+        private val capacityDeadlineAtMillis = minOf(nowMillis() + MAX_CAPACITY_WAIT_MILLIS, request.deadlineAtMillis)
 
         suspend fun run(): Result<Answer, Failure> {
-            while (nowMillis() < request.deadlineMillis) {
+            while (nowMillis() < request.deadlineAtMillis) {
                 if (!lease.held) return failed(ErrorKind.ControlUnavailable.notRun())
                 attemptOnce()?.let { return it }
             }
@@ -110,7 +110,7 @@
         }
 
         private fun mayWaitForCapacity(noChoice: Failure): Boolean =
-            (noChoice.kind.retryable || lastFailure?.kind?.retryable == true) && nowMillis() < capacityDeadlineMillis
+            (noChoice.kind.retryable || lastFailure?.kind?.retryable == true) && nowMillis() < capacityDeadlineAtMillis
 
         private fun mayRetry(
             failure: Failure,
@@ -194,7 +194,7 @@
         )
 
         private suspend fun firstEvent(attempt: Attempt): AnswerEvent {
-            val waitMillis = request.deadlineMillis - nowMillis()
+            val waitMillis = request.deadlineAtMillis - nowMillis()
             withTimeoutOrNull(waitMillis) { attempt.next() }?.let { return it }
             // Only the agent knows whether the upstream has received the request.
             attempt.cancel()
@@ -221,7 +221,7 @@
             fingerprint = request.fingerprint,
             estimatedTokens = request.estimatedTokens,
             costPerKiloToken = member.costPerKiloToken,
-            timeoutMillis = (request.deadlineMillis - nowMillis()).coerceAtLeast(1),
+            timeoutMillis = (request.deadlineAtMillis - nowMillis()).coerceAtLeast(1),
             creditBytes = windowBytes,
             traceparent = request.traceparent,
         )
--- a/entry/src/main/kotlin/io/carawaytrack/entry/RequestReader.kt
+++ b/entry/src/main/kotlin/io/carawaytrack/entry/RequestReader.kt
@@ -78,7 +78,7 @@
                 session = keys.session?.let(::SessionId),
                 idempotencyKey = keys.idempotencyKey,
                 traceparent = traceparent,
-                deadlineMillis = nowMillis() + route.timeoutMillis,
+                deadlineAtMillis = nowMillis() + route.timeoutMillis,
             ),
         )
     }
--- a/entry/src/test/kotlin/io/carawaytrack/entry/DispatchTest.kt
+++ b/entry/src/test/kotlin/io/carawaytrack/entry/DispatchTest.kt
@@ -183,7 +183,7 @@
                 session = null,
                 idempotencyKey = null,
                 traceparent = null,
-                deadlineMillis = nowMillis() + TIMEOUT_MILLIS,
+                deadlineAtMillis = nowMillis() + TIMEOUT_MILLIS,
             )
         return dispatcher.open(request, stock, pinned = false)
     }
--- a/limits/src/main/kotlin/io/carawaytrack/limits/AdmissionQueue.kt
+++ b/limits/src/main/kotlin/io/carawaytrack/limits/AdmissionQueue.kt
@@ -26,14 +26,14 @@
  *
  * @property share weight of the organisation
  * @property cost amount charged against the share, in tokens
- * @property deadlineMillis latest start, on the clock of the queue; null for none
+ * @property deadlineAtMillis latest start, on the clock of the queue; null for none
  */
 public data class AdmissionRequest(
     val organisation: OrganisationName,
     val share: Int = 1,
     val priority: Priority = Priority.Interactive,
     val cost: Long = 1,
-    val deadlineMillis: Long? = null,
+    val deadlineAtMillis: Long? = null,
 )
 
 /**
@@ -135,8 +135,8 @@
     }
 
     private suspend fun awaitOutcome(waiter: Waiter): Result<Ticket, Failure> {
-        val deadlineMillis = waiter.request.deadlineMillis ?: return waiter.outcome.await()
-        val remainingMillis = maxOf(0, deadlineMillis - nowMillis())
+        val deadlineAtMillis = waiter.request.deadlineAtMillis ?: return waiter.outcome.await()
+        val remainingMillis = maxOf(0, deadlineAtMillis - nowMillis())
         val outcome = withTimeoutOrNull(remainingMillis) { waiter.outcome.await() }
         if (outcome != null) return outcome
         val timedOut =
@@ -164,9 +164,9 @@
         if (waiters.isEmpty() && runningCount < permits()) return null
         val ahead = waiters.headSet(waiter).size
         val waitMillis = expectedWaitMillis(ahead)
-        val deadlineMillis = waiter.request.deadlineMillis
-        if (deadlineMillis != null && nowMillis() + waitMillis > deadlineMillis) {
-            val remainingMillis = deadlineMillis - nowMillis()
+        val deadlineAtMillis = waiter.request.deadlineAtMillis
+        if (deadlineAtMillis != null && nowMillis() + waitMillis > deadlineAtMillis) {
+            val remainingMillis = deadlineAtMillis - nowMillis()
             return ErrorKind.PoolExhausted.notRun(
                 "expected wait of $waitMillis ms exceeds the time until the deadline, $remainingMillis ms",
                 waitMillis,
@@ -201,8 +201,8 @@
         while (runningCount < permits()) {
             val next = waiters.pollFirst() ?: return
             virtualClock.advanceTo(next.virtualStart)
-            val deadlineMillis = next.request.deadlineMillis
-            if (deadlineMillis != null && nowMillis() > deadlineMillis) {
+            val deadlineAtMillis = next.request.deadlineAtMillis
+            if (deadlineAtMillis != null && nowMillis() > deadlineAtMillis) {
                 virtualClock.refund(next.request)
                 next.outcome.complete(
                     Err(ErrorKind.PoolExhausted.notRun("deadline passed before a permit was free", retryHintMillis())),
--- a/limits/src/test/kotlin/io/carawaytrack/limits/AdmissionQueueTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/AdmissionQueueTest.kt
@@ -181,8 +181,8 @@
                 mapOf("late" to ErrorKind.PoolExhausted),
             ) {
                 submit("a 1")
-                submit("late", request("b", deadlineMillis = 500))
-                submit("in time", request("b", deadlineMillis = 1_500))
+                submit("late", request("b", deadlineAtMillis = 500))
+                submit("in time", request("b", deadlineAtMillis = 1_500))
             },
             RefusalCase(
                 "a request that waits until its deadline is refused at the deadline",
@@ -190,7 +190,7 @@
                 mapOf("late" to ErrorKind.PoolExhausted),
             ) {
                 submit("a 1")
-                submit("late", request("b", deadlineMillis = 500))
+                submit("late", request("b", deadlineAtMillis = 500))
                 scope.testScheduler.advanceTimeBy(501)
                 scope.runCurrent()
             },
@@ -300,7 +300,7 @@
             share: Int = 1,
             cost: Long = 1,
             priority: Priority = Priority.Interactive,
-            deadlineMillis: Long? = null,
-        ) = AdmissionRequest(OrganisationName(organisation), share, priority, cost, deadlineMillis)
+            deadlineAtMillis: Long? = null,
+        ) = AdmissionRequest(OrganisationName(organisation), share, priority, cost, deadlineAtMillis)
     }
 }
