--- a/agent/src/main/kotlin/io/carawaytrack/agent/UpstreamHealth.kt
+++ b/agent/src/main/kotlin/io/carawaytrack/agent/UpstreamHealth.kt
@@ -68,7 +68,7 @@
     private suspend fun probeAfterFailure() {
         if (probe() || !reachable.compareAndSet(true, false)) return
         logger.warn { "$upstream refuses connections after a failed attempt; assuming that it has crashed" }
-        quarantine.upstreamDied()
+        quarantine.upstreamCrashed()
         metrics.slowStarted()
         slowStart.restarted()
         scope.launch { awaitReachable() }
--- a/limits/src/main/kotlin/io/carawaytrack/limits/Quarantine.kt
+++ b/limits/src/main/kotlin/io/carawaytrack/limits/Quarantine.kt
@@ -46,7 +46,7 @@
     )
 
     /** Counts a death for every request in flight and marks them all as finished. */
-    public fun upstreamDied()
+    public fun upstreamCrashed()
 
     /** Returns the records of this agent, for the other agents. */
     public fun report(): SuspectReport
@@ -108,7 +108,7 @@
         if (completed && ownRecords.remove(fingerprint) != null) sequence += 1
     }
 
-    override fun upstreamDied(): Unit = synchronized(lock) {
+    override fun upstreamCrashed(): Unit = synchronized(lock) {
         inFlight.keys.forEach(::countDeath)
         inFlight.clear()
         sequence += 1
--- a/limits/src/test/kotlin/io/carawaytrack/limits/QuarantineTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/QuarantineTest.kt
@@ -28,7 +28,7 @@
 
         fun Quarantine.die(vararg fingerprints: Long) {
             fingerprints.forEach(::started)
-            upstreamDied()
+            upstreamCrashed()
         }
     }
 
@@ -64,7 +64,7 @@
                 repeat(3) {
                     first.started(1)
                     first.finished(1, completed = false)
-                    first.upstreamDied()
+                    first.upstreamCrashed()
                 }
             },
             Case("deaths reported by several agents are summed", setOf(1)) {
