--- a/limits/src/main/kotlin/io/carawaytrack/limits/Quarantine.kt
+++ b/limits/src/main/kotlin/io/carawaytrack/limits/Quarantine.kt
@@ -1,6 +1,6 @@
 /*
- * Quarantine of requests that crash the upstreams that run them. The requests in flight when an upstream dies become
- * suspects, and a request that was in flight at enough deaths is refused from then on. A suspect that completes is
+ * Quarantine of requests that crash the upstreams that run them. The requests in flight when an upstream crashes become
+ * suspects, and a request that was in flight at enough crashes is refused from then on. A suspect that completes is
  * cleared, so that requests that merely ran at the same time as the cause are not affected. Agents exchange their
  * records as lists of fingerprints and counts.
  */
@@ -16,8 +16,8 @@
 /**
  * Configures a quarantine.
  *
- * @property deathsToQuarantine deaths, summed over all agents, from which a request is refused
- * @property expiryMillis time after the last death at which a suspect expires
+ * @property deathsToQuarantine crashes, summed over all agents, from which a request is refused
+ * @property expiryMillis time after the last crash at which a suspect expires
  * @property maxSuspects maximum suspects stored for each agent; the oldest is evicted
  * @property maxOrigins maximum number of other agents whose reports are stored
  */
@@ -33,7 +33,7 @@
     /** Returns the reason why the request with [fingerprint] is refused, or null when it may run. */
     public fun refusalOf(fingerprint: Long): Failure?
 
-    /** Returns whether the request was in flight at a death; such a request should run without any other beside it. */
+    /** Returns whether the request was in flight at a crash; such a request should run without any other beside it. */
     public fun isSuspect(fingerprint: Long): Boolean
 
     /** Records that the request is sent to the upstream. */
@@ -45,7 +45,7 @@
         completed: Boolean,
     )
 
-    /** Counts a death for every request in flight and marks them all as finished. */
+    /** Counts a crash for every request in flight and marks them all as finished. */
     public fun upstreamCrashed()
 
     /** Returns the records of this agent, for the other agents. */
@@ -62,9 +62,9 @@
     nowMillis: () -> Long,
 ): Quarantine = CountingQuarantine(origin, settings, nowMillis)
 
-private data class DeathRecord(
-    val deaths: Int,
-    val lastDeathMillis: Long,
+private data class CrashRecord(
+    val crashes: Int,
+    val lastCrashAtMillis: Long,
 )
 
 private class CountingQuarantine(
@@ -74,12 +74,12 @@
 ) : Quarantine {
     private class PeerReport(
         val sequence: Long,
-        val records: Map<Long, DeathRecord>,
+        val records: Map<Long, CrashRecord>,
     )
 
     private val lock = Any()
     private val inFlight = HashMap<Long, Int>()
-    private val ownRecords = LinkedHashMap<Long, DeathRecord>()
+    private val ownRecords = LinkedHashMap<Long, CrashRecord>()
     private val peerReports = LinkedHashMap<NodeId, PeerReport>()
 
     // Index from fingerprint to the agents that reported it, because it is looked up for every request.
@@ -89,12 +89,12 @@
     private var sequence = nowMillis()
 
     override fun refusalOf(fingerprint: Long): Failure? {
-        val deaths = synchronized(lock) { deathsOf(fingerprint) }
-        if (deaths < settings.deathsToQuarantine) return null
-        return ErrorKind.Quarantined.notRun("$deaths upstreams died while running this request")
+        val crashes = synchronized(lock) { crashesOf(fingerprint) }
+        if (crashes < settings.deathsToQuarantine) return null
+        return ErrorKind.Quarantined.notRun("$crashes upstreams crashed while running this request")
     }
 
-    override fun isSuspect(fingerprint: Long): Boolean = synchronized(lock) { deathsOf(fingerprint) > 0 }
+    override fun isSuspect(fingerprint: Long): Boolean = synchronized(lock) { crashesOf(fingerprint) > 0 }
 
     override fun started(fingerprint: Long): Unit =
         synchronized(lock) { inFlight[fingerprint] = (inFlight[fingerprint] ?: 0) + 1 }
@@ -109,14 +109,14 @@
     }
 
     override fun upstreamCrashed(): Unit = synchronized(lock) {
-        inFlight.keys.forEach(::countDeath)
+        inFlight.keys.forEach(::countCrash)
         inFlight.clear()
         sequence += 1
     }
 
     override fun report(): SuspectReport = synchronized(lock) {
         val current = ownRecords.filterValues(::isCurrent)
-        SuspectReport(origin, sequence, current.map { (fingerprint, it) -> SuspectCount(fingerprint, it.deaths) })
+        SuspectReport(origin, sequence, current.map { (fingerprint, it) -> SuspectCount(fingerprint, it.crashes) })
     }
 
     override fun merge(report: SuspectReport): Unit = synchronized(lock) {
@@ -137,26 +137,26 @@
         }
     }
 
-    /** Keeps the time of a death that was reported before, so that repeated reports do not prolong it. */
+    /** Keeps the time of a crash that was reported before, so that repeated reports do not prolong it. */
     private fun recordsOf(
         report: SuspectReport,
         previous: PeerReport?,
-    ): Map<Long, DeathRecord> = report.counts.take(settings.maxSuspects).associate {
+    ): Map<Long, CrashRecord> = report.counts.take(settings.maxSuspects).associate {
         val earlier = previous?.records?.get(it.fingerprint)
-        val record = if (earlier?.deaths == it.deaths) earlier else DeathRecord(it.deaths, nowMillis())
+        val record = if (earlier?.crashes == it.crashes) earlier else CrashRecord(it.crashes, nowMillis())
         it.fingerprint to record
     }
 
-    private fun countDeath(fingerprint: Long) {
+    private fun countCrash(fingerprint: Long) {
         val earlier = ownRecords.remove(fingerprint)?.takeIf(::isCurrent)
-        ownRecords[fingerprint] = DeathRecord((earlier?.deaths ?: 0) + 1, nowMillis())
+        ownRecords[fingerprint] = CrashRecord((earlier?.crashes ?: 0) + 1, nowMillis())
         if (ownRecords.size > settings.maxSuspects) ownRecords.remove(ownRecords.keys.first())
     }
 
-    private fun deathsOf(fingerprint: Long): Int {
+    private fun crashesOf(fingerprint: Long): Int {
         val reported = reporters[fingerprint].orEmpty().mapNotNull { peerReports[it]?.records?.get(fingerprint) }
-        return (reported + listOfNotNull(ownRecords[fingerprint])).filter(::isCurrent).sumOf { it.deaths }
+        return (reported + listOfNotNull(ownRecords[fingerprint])).filter(::isCurrent).sumOf { it.crashes }
     }
 
-    private fun isCurrent(record: DeathRecord): Boolean = nowMillis() - record.lastDeathMillis < settings.expiryMillis
+    private fun isCurrent(record: CrashRecord): Boolean = nowMillis() - record.lastCrashAtMillis < settings.expiryMillis
 }
--- a/limits/src/test/kotlin/io/carawaytrack/limits/QuarantineTest.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/QuarantineTest.kt
@@ -26,7 +26,7 @@
         val first = agents.first()
         val second = agents.last()
 
-        fun Quarantine.die(vararg fingerprints: Long) {
+        fun Quarantine.crash(vararg fingerprints: Long) {
             fingerprints.forEach(::started)
             upstreamCrashed()
         }
@@ -41,75 +41,75 @@
 
     private val cases =
         listOf(
-            Case("two deaths do not quarantine a request", emptySet()) { repeat(2) { first.die(1) } },
-            Case("three deaths quarantine a request", setOf(1)) { repeat(3) { first.die(1) } },
+            Case("two crashes do not quarantine a request", emptySet()) { repeat(2) { first.crash(1) } },
+            Case("three crashes quarantine a request", setOf(1)) { repeat(3) { first.crash(1) } },
             Case("requests that ran beside it once are not refused", setOf(1)) {
-                first.die(1, 2)
-                first.die(1, 3)
-                first.die(1, 4)
+                first.crash(1, 2)
+                first.crash(1, 3)
+                first.crash(1, 4)
             },
             Case("a request that completes is cleared", setOf(1)) {
-                repeat(2) { first.die(1, 2) }
+                repeat(2) { first.crash(1, 2) }
                 first.started(2)
                 first.finished(2, completed = true)
-                first.die(1, 2)
+                first.crash(1, 2)
             },
             Case("a request that ended without completing is not cleared", setOf(1)) {
-                repeat(2) { first.die(1) }
+                repeat(2) { first.crash(1) }
                 first.started(1)
                 first.finished(1, completed = false)
-                first.die(1)
+                first.crash(1)
             },
-            Case("a request that finished before the death is not counted", emptySet()) {
+            Case("a request that finished before the crash is not counted", emptySet()) {
                 repeat(3) {
                     first.started(1)
                     first.finished(1, completed = false)
                     first.upstreamCrashed()
                 }
             },
-            Case("deaths reported by several agents are summed", setOf(1)) {
-                repeat(2) { second.die(1) }
-                first.die(1)
+            Case("crashes reported by several agents are summed", setOf(1)) {
+                repeat(2) { second.crash(1) }
+                first.crash(1)
                 first.merge(second.report())
             },
             Case("a repeated report has no effect", emptySet()) {
-                second.die(1)
-                first.die(1)
+                second.crash(1)
+                first.crash(1)
                 repeat(5) { first.merge(second.report()) }
             },
             Case("an older report that arrives late does not replace a newer one", setOf(1)) {
                 val older = second.report()
-                repeat(3) { second.die(1) }
+                repeat(3) { second.crash(1) }
                 first.merge(second.report())
                 first.merge(older)
             },
             Case("an agent ignores its own report", emptySet()) {
-                repeat(2) { first.die(1) }
+                repeat(2) { first.crash(1) }
                 first.merge(first.report())
             },
-            Case("old deaths expire", emptySet()) {
-                repeat(3) { first.die(1) }
+            Case("old crashes expire", emptySet()) {
+                repeat(3) { first.crash(1) }
                 nowMillis += 1_000
             },
-            Case("old deaths expire although they are reported again", emptySet()) {
-                repeat(3) { second.die(1) }
+            Case("old crashes expire although they are reported again", emptySet()) {
+                repeat(3) { second.crash(1) }
                 first.merge(second.report())
                 nowMillis += 900
-                second.die(2)
+                second.crash(2)
                 first.merge(second.report())
                 nowMillis += 100
             },
-            Case("deaths that another agent has cleared do not count", emptySet()) {
-                repeat(2) { second.die(1) }
-                first.die(1)
+            Case("crashes that another agent has cleared do not count", emptySet()) {
+                repeat(2) { second.crash(1) }
+                first.crash(1)
                 first.merge(second.report())
                 second.started(1)
                 second.finished(1, completed = true)
                 first.merge(second.report())
             },
             Case("the oldest suspect is evicted", setOf(2), maxSuspects = 1) {
-                repeat(3) { first.die(1) }
-                repeat(3) { first.die(2) }
+                repeat(3) { first.crash(1) }
+                repeat(3) { first.crash(2) }
             },
         )
 
@@ -125,7 +125,7 @@
     @Test
     fun `a refusal has kind Quarantined and reports NotRun`() {
         val fixture = Fixture()
-        with(fixture) { repeat(3) { first.die(1) } }
+        with(fixture) { repeat(3) { first.crash(1) } }
         expectThat(fixture.first.refusalOf(1)).isNotNull().and {
             get { kind }.isEqualTo(ErrorKind.Quarantined)
             get { execution }.isEqualTo(Execution.NotRun)
--- a/model/src/main/kotlin/io/carawaytrack/model/Suspects.kt
+++ b/model/src/main/kotlin/io/carawaytrack/model/Suspects.kt
@@ -3,13 +3,14 @@
  */
 package io.carawaytrack.model
 
+import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
 /** Counts the upstream crashes during which the request with [fingerprint] was in flight. */
 @Serializable
 public data class SuspectCount(
     val fingerprint: Long,
-    val deaths: Int,
+    @SerialName("deaths") val crashes: Int,
 )
 
 /**
