--- a/model/src/main/kotlin/io/carawaytrack/model/Configuration.kt
+++ b/model/src/main/kotlin/io/carawaytrack/model/Configuration.kt
@@ -73,7 +73,7 @@
 /**
  * Describes one version that a pool may use.
  *
- * @property costPerKiloToken price of a thousand tokens, in the operator's currency
+ * @property costPerKiloToken cost of a thousand tokens, in the operator's currency
  * @property expectedQuality rating from 0 to 1 that is assumed until the first rating is received
  * @property weight share of the pool's requests relative to other versions of equal cost
  * @property upstreams upstreams that may be used, empty for all that announce the version
--- a/replay/src/main/kotlin/io/carawaytrack/replay/EntryModel.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/EntryModel.kt
@@ -255,7 +255,7 @@
         private fun handleCompletion() {
             versionsRun += version
             exposed = exposed || version in state.degradedVersions
-            cost += state.price(version, request.tokens)
+            cost += state.costOf(version, request.tokens)
             val latencyMillis = (events.nowMillis - queuedAtMillis).toLong()
             observe(request, version, Observation.Completed(latencyMillis, request.tokens))
             val minRating = plan.steps[step].minAcceptedRating
--- a/replay/src/main/kotlin/io/carawaytrack/replay/Measures.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Measures.kt
@@ -31,7 +31,7 @@
 /**
  * Measures of one run.
  *
- * @property cost mean price of an answered model request
+ * @property cost mean cost of an answered model request
  * @property smallOrganisationsUnserved model requests of small organisations that were refused or failed
  * @property fastReadersUnserved model requests of callers that read at once that were refused or failed
  * @property exposed requests that completed on a degraded version
--- a/replay/src/main/kotlin/io/carawaytrack/replay/SimulationState.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/SimulationState.kt
@@ -17,7 +17,7 @@
 /**
  * Outcome of a request.
  *
- * @property cost total price of the versions that ran the request
+ * @property cost total cost of the versions that ran the request
  * @property quality true quality of the answer
  * @property exposed whether the request completed on a degraded version
  */
@@ -42,7 +42,7 @@
     val outcomes = mutableListOf<Outcome>()
     val degradedVersions = HashSet<ModelVersion>()
 
-    private val prices =
+    private val costsPerKiloToken =
         spec.pools
             .flatMap { it.members }
             .associate { it.version to it.costPerKiloToken }
@@ -52,10 +52,10 @@
         to: ZoneName,
     ): Double = if (from == to) spec.oneWayDelayMillis / SAME_ZONE_DELAY_DIVISOR else spec.oneWayDelayMillis
 
-    fun price(
+    fun costOf(
         version: ModelVersion,
         tokens: Long,
-    ): Double = prices.getValue(version) * tokens / TOKENS_PER_KILO_TOKEN
+    ): Double = costsPerKiloToken.getValue(version) * tokens / TOKENS_PER_KILO_TOKEN
 
     fun trueQuality(
         request: TraceRequest,
--- a/routing/src/main/kotlin/io/carawaytrack/routing/RouteEstimates.kt
+++ b/routing/src/main/kotlin/io/carawaytrack/routing/RouteEstimates.kt
@@ -32,7 +32,7 @@
 /**
  * Holds the best plan and the alternatives that are tried on a share of requests.
  *
- * @property peers when the best plan has a single step, the members that meet the target at the same price, including
+ * @property peers when the best plan has a single step, the members that meet the target at the same cost, including
  * the one that the plan names
  * @property promising cheaper plan whose expected quality meets the target, whatever its confidence
  * @property newTrials plans that start with a version which is not proven yet
--- a/routing/src/test/kotlin/io/carawaytrack/routing/LearningPlannerTest.kt
+++ b/routing/src/test/kotlin/io/carawaytrack/routing/LearningPlannerTest.kt
@@ -82,7 +82,7 @@
     }
 
     @Test
-    fun `members of equal price receive requests by weight`() {
+    fun `members of equal cost receive requests by weight`() {
         val members = arrayOf(smallMember.copy(weight = 3), smallNextMember.copy(costPerKiloToken = 1.0, weight = 1))
         val planner = Planner(Random(3))
         val request = PlanRequest(organisation("*@*"), draftRoute(target = 0.6))
