--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/RaftCore.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/RaftCore.kt
@@ -68,7 +68,7 @@
      * Time of the last message from the leader. Starts at the current time, because the replica may have been in
      * contact with its leader just before it restarted.
      */
-    private var lastLeaderMessageMillis = nowMillis
+    private var lastLeaderMessageAtMillis = nowMillis
 
     /** Collects the votes of an election, or of the pre-vote that precedes it if [preVote] is set. */
     private class Election(
@@ -158,7 +158,7 @@
         check(leader == null) { "expected a single leader in term ${state.term}, got ${state.node} and $from" }
         election = null
         state.leader = from
-        lastLeaderMessageMillis = nowMillis
+        lastLeaderMessageAtMillis = nowMillis
         resetElectionDeadline()
         when (message) {
             is AppendRequest -> follower.onAppend(from, message)
@@ -264,7 +264,7 @@
     private fun mayVote() = state.members.isVoter(state.node)
 
     private fun isLeaderActive() =
-        leader != null || nowMillis - lastLeaderMessageMillis < state.settings.electionTimeoutMillis
+        leader != null || nowMillis - lastLeaderMessageAtMillis < state.settings.electionTimeoutMillis
 
     private fun isUpToDate(
         lastIndex: Long,
--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/Replication.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/Replication.kt
@@ -14,11 +14,11 @@
 /** Tracks the replication to one other member. */
 private class Progress(
     var nextIndex: Long,
-    var lastReplyMillis: Long,
+    var lastReplyAtMillis: Long,
 ) {
     var matchIndex = 0L
     var inFlight = 0
-    var lastSentMillis = 0L
+    var lastSentAtMillis = 0L
     var acknowledgedRound = 0L
     var snapshot: StoredSnapshot? = null
     var snapshotChecksum = 0L
@@ -51,7 +51,7 @@
     fun sendHeartbeats() = peers.forEach { (node, peer) -> sendHeartbeat(node, peer) }
 
     fun sendDueHeartbeats() = peers
-        .filterValues { nowMillis - it.lastSentMillis >= settings.heartbeatMillis }
+        .filterValues { nowMillis - it.lastSentAtMillis >= settings.heartbeatMillis }
         .forEach { (node, peer) -> sendHeartbeat(node, peer) }
 
     /** Returns the index up to which the log of [node] is known to match and to be durable. */
@@ -64,11 +64,11 @@
     /** Returns the members that have replied within the last election timeout, and the leader itself. */
     fun activeMembers(): Set<NodeId> {
         val oldestMillis = nowMillis - settings.electionTimeoutMillis
-        return peers.filterValues { it.lastReplyMillis > oldestMillis }.keys + state.node
+        return peers.filterValues { it.lastReplyAtMillis > oldestMillis }.keys + state.node
     }
 
     /** Returns the time since the last reply of [node]; zero for this replica. */
-    fun replyAgeMillis(node: NodeId): Long = peers[node]?.let { nowMillis - it.lastReplyMillis } ?: 0
+    fun replyAgeMillis(node: NodeId): Long = peers[node]?.let { nowMillis - it.lastReplyAtMillis } ?: 0
 
     /** Handles a reply; returns whether [from] is a tracked member. */
     fun onReply(
@@ -76,7 +76,7 @@
         reply: FollowerMessage,
     ): Boolean {
         val peer = peers[from] ?: return false
-        peer.lastReplyMillis = nowMillis
+        peer.lastReplyAtMillis = nowMillis
         peer.acknowledgedRound = maxOf(peer.acknowledgedRound, reply.round)
         when (reply) {
             is AppendReply -> if (reply.accepted) onAcceptance(peer, reply) else onRejection(peer, reply)
@@ -154,7 +154,7 @@
                 "expected the log to contain index $previous, it starts after index ${log.baseIndex}"
             }
         val sent = entries.map { SentEntry(it.term, it.kind, it.payload) }
-        peer.lastSentMillis = nowMillis
+        peer.lastSentAtMillis = nowMillis
         state.sendBeforePersist(to, AppendRequest(state.term, round, previous, previousTerm, state.commitIndex, sent))
     }
 
@@ -176,7 +176,7 @@
         val snapshot = peer.snapshot ?: return
         val start = minOf(peer.snapshotBytes, snapshot.state.size)
         val end = minOf(start + settings.snapshotChunkBytes, snapshot.state.size)
-        peer.lastSentMillis = nowMillis
+        peer.lastSentAtMillis = nowMillis
         state.sendBeforePersist(
             to,
             SnapshotChunk(
--- a/limits/src/test/kotlin/io/carawaytrack/limits/SimulatedUpstream.kt
+++ b/limits/src/test/kotlin/io/carawaytrack/limits/SimulatedUpstream.kt
@@ -33,7 +33,7 @@
         val tokens: Long,
     ) {
         var remainingTokens = tokens.toDouble()
-        var startedMillis = 0.0
+        var startedAtMillis = 0.0
     }
 
     private val random = Random(seed)
@@ -80,7 +80,7 @@
     }
 
     private fun end(request: Request) {
-        completed((nowMillis - request.startedMillis).toLong(), request.tokens, running.size)
+        completed((nowMillis - request.startedAtMillis).toLong(), request.tokens, running.size)
         running -= request
         latencies[phaseAt(request.arrivedMillis)] += (nowMillis - request.arrivedMillis).toLong()
     }
@@ -90,7 +90,7 @@
             drops[phaseAt(waiting.removeFirst().arrivedMillis)] += 1
         }
         while (running.size < limit() && waiting.isNotEmpty()) {
-            running += waiting.removeFirst().also { it.startedMillis = nowMillis }
+            running += waiting.removeFirst().also { it.startedAtMillis = nowMillis }
         }
     }
 
--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/Mesh.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/Mesh.kt
@@ -153,7 +153,7 @@
     private val recentStateSaver = RecentStateSaver()
     private var listenChannel: Channel? = null
     private var viewRequestedAtMillis = 0L
-    private var lastHeartbeatMillis = 0L
+    private var lastHeartbeatAtMillis = 0L
     private var core: CoreMember? = null
 
     override val upstreams: UpstreamRegistry = UpstreamRegistry(nowMillis)
@@ -243,7 +243,7 @@
             logger.event("link_silent", fields, Level.WARN)
             link.close()
         }
-        if (now - lastHeartbeatMillis >= HEARTBEAT_INTERVAL_MILLIS) sendHeartbeats()
+        if (now - lastHeartbeatAtMillis >= HEARTBEAT_INTERVAL_MILLIS) sendHeartbeats()
         dissemination.tick()
         peers.hostsToDial(coreLinks().mapNotNull { it.peer?.address }.toSet()).forEach(links::dial)
         core?.let { member ->
@@ -253,7 +253,7 @@
     }
 
     private fun sendHeartbeats() {
-        lastHeartbeatMillis = nowMillis()
+        lastHeartbeatAtMillis = nowMillis()
         val heartbeat = currentHeartbeat().encode()
         open.forEach { it.send(heartbeat) }
     }
--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/UpstreamDissemination.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/UpstreamDissemination.kt
@@ -29,7 +29,7 @@
     private val nowMillis: () -> Long,
 ) {
     private val refreshed = LinkedHashMap<UpstreamId, KnownUpstream>()
-    private var lastRefreshMillis = 0L
+    private var lastRefreshAtMillis = 0L
 
     fun announce(upstream: FleetUpstream) {
         when (upstreams.record(upstream)) {
@@ -81,8 +81,8 @@
         upstreams.evictExpired().forEach {
             events.upstreamRemoved(Deregistration(it.upstream.id, it.upstream.startedAtMillis))
         }
-        if (nowMillis() - lastRefreshMillis < REFRESH_INTERVAL_MILLIS) return
-        lastRefreshMillis = nowMillis()
+        if (nowMillis() - lastRefreshAtMillis < REFRESH_INTERVAL_MILLIS) return
+        lastRefreshAtMillis = nowMillis()
         if (refreshed.isEmpty()) return
         send(MeshMessage.Upstreams(refreshed.values.map(::relayed), relay = !core), REFRESH_FANOUT)
         refreshed.clear()
