--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/Exchange.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/Exchange.kt
@@ -14,10 +14,10 @@
 import io.netty.handler.codec.http.HttpResponse
 
 /** Time without stream content that is attributed to the upstream if it is also suspected unhealthy or has departed. */
-private const val STALLED_STREAM_MILLIS = 1_500L
+private const val SUSPECTED_STREAM_TIMEOUT_MILLIS = 1_500L
 
 /** Minimum time without stream content that is attributed to the upstream without any other indication. */
-private const val DEAD_STREAM_MILLIS = 3_000L
+private const val STREAM_TIMEOUT_MILLIS = 3_000L
 
 /**
  * Part of the latency target that may pass without stream content before an upstream suspected unhealthy is abandoned.
@@ -164,11 +164,11 @@
             !route.streaming ->
                 sinceContentMillis > route.latencyTargetMillis * RETRY_AFTER_TARGET_RATIO &&
                     attempts == 1
-            upstream.departed -> sinceContentMillis > STALLED_STREAM_MILLIS
+            upstream.departed -> sinceContentMillis > SUSPECTED_STREAM_TIMEOUT_MILLIS
             upstream.isSuspectedUnhealthy ->
                 sinceContentMillis >
-                    minOf(STALLED_STREAM_MILLIS, (route.latencyTargetMillis * FIRST_EVENT_RATIO).toLong())
-            else -> sinceContentMillis > maxOf(DEAD_STREAM_MILLIS, route.latencyTargetMillis)
+                    minOf(SUSPECTED_STREAM_TIMEOUT_MILLIS, (route.latencyTargetMillis * FIRST_EVENT_RATIO).toLong())
+            else -> sinceContentMillis > maxOf(STREAM_TIMEOUT_MILLIS, route.latencyTargetMillis)
         }
     }
 
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamConnections.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/UpstreamConnections.kt
@@ -249,18 +249,18 @@
                     ReferenceCountUtil.release(message)
                     channel.close()
                 }
-                message is HttpResponse && message.decoderResult().isFailure -> breakOff(message)
+                message is HttpResponse && message.decoderResult().isFailure -> closeBroken(message)
                 message is HttpResponse -> {
                     head(current, message)
                     if (message is HttpContent) body(current, message)
                 }
-                message is HttpContent && message.decoderResult().isFailure -> breakOff(message)
+                message is HttpContent && message.decoderResult().isFailure -> closeBroken(message)
                 message is HttpContent -> body(current, message)
                 else -> ReferenceCountUtil.release(message)
             }
         }
 
-        private fun breakOff(message: Any) {
+        private fun closeBroken(message: Any) {
             ReferenceCountUtil.release(message)
             broken = true
             channel.close()
--- a/mesh/src/main/kotlin/io/carawaytrack/mesh/Peers.kt
+++ b/mesh/src/main/kotlin/io/carawaytrack/mesh/Peers.kt
@@ -53,8 +53,8 @@
     fun hostsToDial(linkedCores: Set<HostPort>): List<HostPort> {
         linkedCores.forEach { lastContactAtMillis[it] = nowMillis() }
         evictLost(linkedCores)
-        val wanted = cores.keys + seeds.filter { linkedCores.isEmpty() || known[it] == null || it in cores }
-        val due = (wanted - linkedCores - self.address).filter { isDue(it) }
+        val targets = cores.keys + seeds.filter { linkedCores.isEmpty() || known[it] == null || it in cores }
+        val due = (targets - linkedCores - self.address).filter { isDue(it) }
         due.forEach { dialledAtMillis[it] = nowMillis() }
         return due
     }
--- a/mesh/src/test/kotlin/io/carawaytrack/mesh/NextMemberChangeTest.kt
+++ b/mesh/src/test/kotlin/io/carawaytrack/mesh/NextMemberChangeTest.kt
@@ -18,7 +18,7 @@
     private val c = NodeId("10.0.0.3:70/c")
     private val d = NodeId("10.0.0.4:70/d")
     private val wiped = NodeId("10.0.0.2:70/w")
-    private val fresh = NodeId("10.0.0.9:70/f")
+    private val joining = NodeId("10.0.0.9:70/f")
 
     private fun voter(
         node: NodeId,
@@ -40,12 +40,12 @@
     @TestFactory
     fun `the leader makes one change at a time`(): List<DynamicTest> = listOf(
         Case("a complete group needs no change", listOf(voter(a), voter(b), voter(c)), emptySet(), null),
-        Case("a joining replica is added", listOf(voter(a)), setOf(fresh), MemberChange.AddLearner(fresh)),
+        Case("a joining replica is added", listOf(voter(a)), setOf(joining), MemberChange.AddLearner(joining)),
         Case("a joining replica that is already a member is ignored", listOf(voter(a), voter(b)), setOf(b), null),
         Case(
             "a learner is promoted before the next replica is added",
             listOf(voter(a), learner(b)),
-            setOf(fresh),
+            setOf(joining),
             MemberChange.Promote(b),
         ),
         Case(
@@ -57,14 +57,14 @@
         Case(
             "a joining replica replaces an unresponsive member",
             listOf(voter(a), voter(b), voter(c, replyAgeMillis = 3_000)),
-            setOf(fresh),
+            setOf(joining),
             MemberChange.Remove(c),
         ),
         Case(
             "a joining replica is added if all members are only slow",
             listOf(voter(a), voter(b), voter(c, replyAgeMillis = 2_900)),
-            setOf(fresh),
-            MemberChange.AddLearner(fresh),
+            setOf(joining),
+            MemberChange.AddLearner(joining),
         ),
         Case(
             "an unresponsive member stays in a group of odd size",
--- a/model/src/main/kotlin/io/carawaytrack/model/Configuration.kt
+++ b/model/src/main/kotlin/io/carawaytrack/model/Configuration.kt
@@ -40,9 +40,9 @@
 
 /** Returns whether this version matches [pattern], a `model@version` in which either part may be `*`. */
 public fun ModelVersion.matches(pattern: String): Boolean {
-    val wanted = ModelVersion.parse(pattern) ?: return false
-    val modelMatches = wanted.model == "*" || wanted.model == model
-    return modelMatches && (wanted.version == "*" || wanted.version == version)
+    val allowed = ModelVersion.parse(pattern) ?: return false
+    val modelMatches = allowed.model == "*" || allowed.model == model
+    return modelMatches && (allowed.version == "*" || allowed.version == version)
 }
 
 /**
--- a/routing/src/main/kotlin/io/carawaytrack/routing/RolloutEvaluator.kt
+++ b/routing/src/main/kotlin/io/carawaytrack/routing/RolloutEvaluator.kt
@@ -120,12 +120,12 @@
     private val settings: RolloutEvaluatorSettings,
 ) : RolloutEvaluator {
     override fun evaluate(periods: List<RolloutEvidence>): RolloutDecision {
-        val whole = periods.fold(RolloutEvidence()) { sum, period -> sum + period }
+        val total = periods.fold(RolloutEvidence()) { sum, period -> sum + period }
         val suffixes = periods.map { it.to }.suffixSums()
         return when {
-            suffixes.any { isWorse(whole.from, it, suffixes.size) } -> RolloutDecision.RollBack
-            isNoWorse(whole.from, whole.to) -> RolloutDecision.Advance
-            isExhausted(whole.to) -> RolloutDecision.Hold
+            suffixes.any { isWorse(total.from, it, suffixes.size) } -> RolloutDecision.RollBack
+            isNoWorse(total.from, total.to) -> RolloutDecision.Advance
+            isExhausted(total.to) -> RolloutDecision.Hold
             else -> RolloutDecision.Continue
         }
     }
