--- a/standins/src/test/kotlin/io/carawaytrack/standins/RunningSlotsTest.kt
+++ b/standins/src/test/kotlin/io/carawaytrack/standins/RunningSlotsTest.kt
@@ -47,7 +47,7 @@
     @Test
     fun `a request that is cancelled while waiting takes no slot`() = runTest {
         launchRequest("running", Priority.Batch)
-        launchRequest("gives up", Priority.Interactive).cancel()
+        launchRequest("cancelled", Priority.Interactive).cancel()
         launchRequest("batch", Priority.Batch)
         completion.complete(Unit)
         runCurrent()
--- a/telemetry/src/test/kotlin/io/carawaytrack/telemetry/JsonLogsTest.kt
+++ b/telemetry/src/test/kotlin/io/carawaytrack/telemetry/JsonLogsTest.kt
@@ -92,7 +92,7 @@
 
     @Test
     fun `messages below the level are omitted`() {
-        expectThat(linesOf(Level.WARN) { it.info { "quiet" } }).isEmpty()
+        expectThat(linesOf(Level.WARN) { it.info { "omitted" } }).isEmpty()
     }
 
     @Test
