--- a/bench/src/main/kotlin/io/carawaytrack/bench/CallerLoad.kt
+++ b/bench/src/main/kotlin/io/carawaytrack/bench/CallerLoad.kt
@@ -125,6 +125,5 @@
         )
     }
 
-    private fun ConcurrentHistogram.millisAt(percentile: Double) =
-        getValueAtPercentile(percentile) / NANOS_PER_MILLI
+    private fun ConcurrentHistogram.millisAt(percentile: Double) = getValueAtPercentile(percentile) / NANOS_PER_MILLI
 }
