--- a/replay/src/main/kotlin/io/carawaytrack/replay/Measures.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Measures.kt
@@ -32,7 +32,7 @@
 /**
  * Measures of one run.
  *
- * @property cost mean price of an answered model request
+ * @property cost mean cost of an answered model request
  * @property smallOrganisationsUnserved model requests of small organisations that were refused or failed
  * @property fastReaders latency of answered model requests whose callers read the answer without delay
  * @property fastReadersUnserved model requests of such callers that were refused or failed
