--- a/agent/src/test/kotlin/io/carawaytrack/agent/AgentTest.kt
+++ b/agent/src/test/kotlin/io/carawaytrack/agent/AgentTest.kt
@@ -123,7 +123,7 @@
                         tables = inForce.tables.copy(organisations = listOf(market.copy(allows = listOf("ink@1")))),
                     ),
             ),
-            Refusal("an unknown organisation", ErrorKind.NotAllowed, openAttempt(organisation = "unknown")),
+            Refusal("an unknown organisation", ErrorKind.NotAllowed, openAttempt(organisation = "nobody")),
             Refusal(
                 "a version that the upstream does not serve",
                 ErrorKind.NoHealthyUpstream,
