--- a/bench/src/main/kotlin/io/carawaytrack/bench/StateSlopes.kt
+++ b/bench/src/main/kotlin/io/carawaytrack/bench/StateSlopes.kt
@@ -34,7 +34,7 @@
 import java.lang.management.ManagementFactory
 
 private const val ANSWER_BYTES = 1_000
-private const val NANOS_PER_MICROSECOND = 1_000.0
+private const val NANOS_PER_MICRO = 1_000.0
 private const val GARBAGE_COLLECTION_ROUNDS = 3
 private const val SAMPLE_PERMITS = 32
 private const val SAMPLE_RUNNING = 17
@@ -69,9 +69,9 @@
     "heartbeat of an entry" to
         frameBytes(Heartbeat(SMALL_RECORD_COUNT.toLong(), 1, membershipNumber = SMALL_RECORD_COUNT.toLong())),
     "heartbeat of an agent" to frameBytes(Heartbeat(SMALL_RECORD_COUNT.toLong(), 1, announcement(1))),
-    "grant without news" to frameBytes(LeaseGrant(SMALL_RECORD_COUNT.toLong(), LEASE_MILLIS, 1)),
+    "grant without changes" to frameBytes(LeaseGrant(SMALL_RECORD_COUNT.toLong(), LEASE_MILLIS, 1)),
     "ledger begin" to begin(1).encode().size,
-    "ledger finish with a kept answer" to finish(1, keyed = true).encode().size,
+    "ledger finish with a stored answer" to finish(1, keyed = true).encode().size,
     "ledger finish without an answer" to finish(1, keyed = false).encode().size,
 )
 
@@ -178,5 +178,5 @@
     filledLedger(SMALL_RECORD_COUNT, keyed = true)
     val beforeNanos = threads.currentThreadCpuTime
     filledLedger(count, keyed = true)
-    return Point(count.toDouble(), (threads.currentThreadCpuTime - beforeNanos) / NANOS_PER_MICROSECOND)
+    return Point(count.toDouble(), (threads.currentThreadCpuTime - beforeNanos) / NANOS_PER_MICRO)
 }
--- a/consensus/src/main/kotlin/io/carawaytrack/consensus/RaftCore.kt
+++ b/consensus/src/main/kotlin/io/carawaytrack/consensus/RaftCore.kt
@@ -62,13 +62,13 @@
     private val follower = Follower(state)
     private var leader: Leader? = null
     private var election: Election? = null
-    private var electionDeadlineMillis = 0L
+    private var electionDeadlineAtMillis = 0L
 
     /**
      * Time of the last message from the leader. Starts at the current time, because the replica may have been in
      * contact with its leader just before it restarted.
      */
-    private var lastLeaderMessageMillis = nowMillis
+    private var lastLeaderMessageAtMillis = nowMillis
 
     /** Collects the votes of an election, or of the pre-vote that precedes it if [preVote] is set. */
     private class Election(
@@ -117,7 +117,7 @@
     private fun onTick() {
         val leading = leader
         when {
-            leading == null -> if (nowMillis >= electionDeadlineMillis) startElection(preVote = true)
+            leading == null -> if (nowMillis >= electionDeadlineAtMillis) startElection(preVote = true)
             leading.isQuorumActive(nowMillis) -> leading.onTick(nowMillis)
             else -> stepDown()
         }
@@ -158,7 +158,7 @@
         check(leader == null) { "expected a single leader in term ${state.term}, got ${state.node} and $from" }
         election = null
         state.leader = from
-        lastLeaderMessageMillis = nowMillis
+        lastLeaderMessageAtMillis = nowMillis
         resetElectionDeadline()
         when (message) {
             is AppendRequest -> follower.onAppend(from, message)
@@ -264,7 +264,7 @@
     private fun mayVote() = state.members.isVoter(state.node)
 
     private fun isLeaderActive() =
-        leader != null || nowMillis - lastLeaderMessageMillis < state.settings.electionTimeoutMillis
+        leader != null || nowMillis - lastLeaderMessageAtMillis < state.settings.electionTimeoutMillis
 
     private fun isUpToDate(
         lastIndex: Long,
@@ -276,6 +276,6 @@
 
     private fun resetElectionDeadline() {
         val timeoutMillis = state.settings.electionTimeoutMillis
-        electionDeadlineMillis = nowMillis + timeoutMillis + random.nextLong(timeoutMillis)
+        electionDeadlineAtMillis = nowMillis + timeoutMillis + random.nextLong(timeoutMillis)
     }
 }
--- a/gateway/src/main/kotlin/io/carawaytrack/gateway/RequestLog.kt
+++ b/gateway/src/main/kotlin/io/carawaytrack/gateway/RequestLog.kt
@@ -1,5 +1,5 @@
 /*
- * Log events about requests. Refusals, failures and retries are always logged, up to a limit for each second. Ordinary
+ * Log events about requests. Refusals, failures and retries are always logged, up to a limit per second. Ordinary
  * requests are sampled by a hash of their identifier, so that every host logs the same requests.
  */
 package io.carawaytrack.gateway
@@ -11,7 +11,7 @@
 private val logger = KotlinLogging.logger {}
 
 /** One in this many ordinary requests is logged. */
-private const val SAMPLE_INTERVAL = 16
+private const val REQUESTS_PER_SAMPLE = 16
 
 /** Limit on request log lines: at a few hundred bytes each, a small part of a slow host's network link. */
 private const val MAX_LINES_PER_SECOND = 150
@@ -28,10 +28,10 @@
     fun write(
         event: String,
         exchange: Exchange,
-        configuration: Long?,
+        configurationVersion: Long?,
         detail: Map<String, Any?>,
     ) {
-        if (!mayWrite()) return
+        if (!tryAcquireLine()) return
         val request = exchange.request
         val target = exchange.target
         val common =
@@ -41,7 +41,7 @@
                 "organisation" to request.organisation?.name?.value,
                 "upstream" to target?.upstream?.id?.value,
                 "modelIndex" to exchange.modelIndex,
-                "configuration" to configuration,
+                "configuration" to configurationVersion,
                 "heardMillisAgo" to target?.let { nowMillis() - it.announcedAtMillis },
                 "load" to target?.estimatedLoad(),
             )
@@ -49,9 +49,9 @@
     }
 
     /** Returns whether the ordinary request [id] is part of the sample. */
-    fun isSampled(id: String): Boolean = (unitHash(id) * SAMPLE_INTERVAL).toInt() == 0
+    fun isSampled(id: String): Boolean = (unitHash(id) * REQUESTS_PER_SAMPLE).toInt() == 0
 
-    private fun mayWrite(): Boolean {
+    private fun tryAcquireLine(): Boolean {
         val now = nowMillis() / MILLIS_PER_SECOND
         if (now != second) {
             if (lines > MAX_LINES_PER_SECOND) logEvent("lines_dropped", mapOf("lines" to lines - MAX_LINES_PER_SECOND))
--- a/telemetry/src/main/kotlin/io/carawaytrack/telemetry/Telemetry.kt
+++ b/telemetry/src/main/kotlin/io/carawaytrack/telemetry/Telemetry.kt
@@ -66,7 +66,7 @@
 /**
  * Configures which spans are recorded and where they are written.
  *
- * @property sampleRatio share of new traces that are recorded, 0 to 1; a trace started by another process keeps its
+ * @property sampleRatio fraction of new traces that are recorded, 0 to 1; a trace started by another process keeps its
  * sampling decision
  * @property maxQueuedSpans maximum number of ended spans that wait to be written; further spans are dropped and counted
  */
@@ -111,7 +111,7 @@
 }
 
 private const val MAX_ATTRIBUTES_PER_SPAN = 32
-private const val MAX_ATTRIBUTE_VALUE_CHARACTERS = 1_024
+private const val MAX_ATTRIBUTE_VALUE_CHARS = 1_024
 private const val TRACEPARENT_HEADER = "traceparent"
 private const val INSTRUMENTATION_SCOPE = "io.carawaytrack"
 private val errorTypeKey = AttributeKey.stringKey("error.type")
@@ -120,7 +120,7 @@
     SpanLimits
         .builder()
         .setMaxNumberOfAttributes(MAX_ATTRIBUTES_PER_SPAN)
-        .setMaxAttributeValueLength(MAX_ATTRIBUTE_VALUE_CHARACTERS)
+        .setMaxAttributeValueLength(MAX_ATTRIBUTE_VALUE_CHARS)
         .build()
 
 private class SdkTelemetry(
