--- a/e2e/src/test/kotlin/io/carawaytrack/e2e/Deployment.kt
+++ b/e2e/src/test/kotlin/io/carawaytrack/e2e/Deployment.kt
@@ -34,6 +34,7 @@
 internal const val RECEIVE_MILLIS = 2_000L
 internal const val BODY_LIMIT_BYTES = 65_536
 internal const val CHAT_PATH = "/v1/chat/completions"
+internal const val STATUS_PATH = "/v1/status"
 internal const val RESERVATION_PATH = "/stock/reservations"
 
 internal val engines = listOf(ENGINE_A, ENGINE_B)
@@ -171,6 +172,10 @@
             restartEnded()
             addresses.upstreams.keys.all { it.isListening() }
         }
+        // A control host that the previous test restarted last may not listen yet, although the others form a quorum.
+        until("every control host listening") {
+            controlHosts.indices.all { resultOrNull { administer(it, HttpCall(STATUS_PATH)) } != null }
+        }
         until("every upstream announced") { announcements().count { !it.leaving } == addresses.upstreams.size }
         val holders = servers.size - addresses.upstreams.size - controlHosts.size
         until("$holders holders") { status()?.holders?.size == holders }
