--- a/bench/src/main/kotlin/io/carawaytrack/bench/StateSlopes.kt
+++ b/bench/src/main/kotlin/io/carawaytrack/bench/StateSlopes.kt
@@ -69,9 +69,9 @@
     "heartbeat of an entry" to
         frameBytes(Heartbeat(SMALL_RECORD_COUNT.toLong(), 1, membershipNumber = SMALL_RECORD_COUNT.toLong())),
     "heartbeat of an agent" to frameBytes(Heartbeat(SMALL_RECORD_COUNT.toLong(), 1, announcement(1))),
-    "grant without changes" to frameBytes(LeaseGrant(SMALL_RECORD_COUNT.toLong(), LEASE_MILLIS, 1)),
+    "grant without news" to frameBytes(LeaseGrant(SMALL_RECORD_COUNT.toLong(), LEASE_MILLIS, 1)),
     "ledger begin" to begin(1).encode().size,
-    "ledger finish with a stored answer" to finish(1, keyed = true).encode().size,
+    "ledger finish with a kept answer" to finish(1, keyed = true).encode().size,
     "ledger finish without an answer" to finish(1, keyed = false).encode().size,
 )
 
--- a/replay/src/main/kotlin/io/carawaytrack/replay/Targets.kt
+++ b/replay/src/main/kotlin/io/carawaytrack/replay/Targets.kt
@@ -88,7 +88,7 @@
 )
 
 private fun coldStartCheck(inputs: TargetInputs): TargetCheck = TargetCheck(
-    "a cold upstream never receives more than its cold capacity",
+    "a cold upstream never gets more than it can bear",
     "${inputs.current.coldOverloads} times exceeded, ${inputs.current.rejectedByAgents} rejected by agents",
     inputs.current.coldOverloads == 0,
 )
